--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -3,7 +3,6 @@
 #include "lab/counts_experiment.h"
 #include "lab/csv.h"
 #include "lab/live_experiment.h"
-#include "lab/scale_command.h"
 #include "lab/spread_command.h"
 
 #include <CLI/CLI.hpp>
@@ -211,37 +210,14 @@
     spread_command->add_option("--program", spread.program,
                                "willowrilld: real processes on loopback in place of virtual time");
     spread_command->add_option("--out", spread.out, "the table, CSV")->capture_default_str();
-    ScaleOptions scale;
-    CLI::App* scale_command = app.add_subcommand(
-        "scale", "what grows with the fleet: real schedulers beside hollow ones, on loopback");
-    scale_command->add_option("--program", scale.base.program, "willowrilld")->required();
-    scale_command->add_option("--schedulers", scale.schedulers, "sizes, beside --workers-held")
-        ->delimiter(',')
-        ->capture_default_str();
-    scale_command->add_option("--workers", scale.workers, "sizes, beside --schedulers-held")
-        ->delimiter(',')
-        ->capture_default_str();
-    scale_command->add_option("--schedulers-held", scale.schedulers_held, "while workers grow")
-        ->capture_default_str();
-    scale_command->add_option("--workers-held", scale.workers_held, "while schedulers grow")
-        ->capture_default_str();
-    scale_command->add_option("--real", scale.base.real, "schedulers that are processes of their own")
-        ->capture_default_str();
-    scale_command->add_option("--seeds", scale.seeds, "runs of each size, seeds 1 to this")
-        ->capture_default_str();
-    scale_command->add_option("--out", scale.out, "the table, CSV")->capture_default_str();
     CapacityOptions capacity;
     CLI::App* capacity_command =
-        app.add_subcommand("capacity", "slopes of such a table and what they come to, Markdown and SVG");
+        app.add_subcommand("capacity", "slopes of a table of sizes (docs/results/scale.csv) and what they come to, Markdown and SVG");
     capacity_command->add_option("--in", capacity.in, "the table")->capture_default_str();
     capacity_command->add_option("--out", capacity.folder, "the folder")->capture_default_str();
     capacity_command->add_option("--schedulers", capacity.schedulers, "at which size")->capture_default_str();
     capacity_command->add_option("--workers", capacity.workers, "at which size")->capture_default_str();
     CLI11_PARSE(app, count, arguments);
-    if (scale_command->parsed()) {
-        Progress progress;
-        return run(scale, [&](const std::string& at) { progress.say(at); });
-    }
     if (capacity_command->parsed()) return run(capacity);
     if (spread_command->parsed()) {
         Progress progress;
--- a/tests/lab/start_test.cpp
+++ b/tests/lab/start_test.cpp
@@ -1,7 +1,6 @@
 // A scheduler that starts with the list of its former life: real process, discovery and workers of the test.
 #include "lab/folder.h"
 #include "lab/process.h"
-#include "lab/scale/hollow.h"
 #include "lab/server.h"
 #include "sockets.h"
 
@@ -21,10 +20,25 @@
            worker.text() + R"(","zone":"z0","kind":"small","cell":0,"state":")" + state + R"("}]})";
 }
 
+// The platform's configuration of a scheduler that has the fleet for itself.
+std::string scheduler_config(const net::Endpoint& discovery) {
+    return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.text() +
+           R"(","seed":"10000","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":{"balancers":1,"slot_no":0,
+  "tick_ns":5000000,"zone":"z0","zones":["z0"],"kinds":["small"],"tenants":[],"discovery":"ask",
+  "classes":[{"name":"job","effect":"read_like","aim_ns":2000000000,"hard_limit_ns":10000000000,"worth":1}],
+  "family_info":{"class_kind":[-1],"class_stretch":[0],"tells_start":false,"progress_ns":0},
+  "reporting":{"fields":["load_share","x0"],"via":"pull"},
+  "limits":{"cancel":true,"probes":true,"second_copies":false,"retry_after":true,"max_attempts":4,
+   "max_open":20000,"max_retry_after_ns":2000000000,"conn_idle_ns":5000000000,"connect_timeout_ns":250000000},
+  "prices":{},
+  "safety":{"answer_slack_ns":20000000,"ask_within_ns":10000000000,"stop_sending_within_ns":1000000000,
+   "cold_ns":9000000000,"start_capacity":0.4,"fall_multiple":2.5,"fall_ns":1000000000}}})";
+}
+
 // The program, with a remembered list of one worker, and a discovery that answers when the test wants it.
 struct Started {
     explicit Started(const net::Endpoint& asked) {
-        std::string config = scale::scheduler_config(0, 1, 1, asked);
+        std::string config = scheduler_config(asked);
         config.insert(config.find("\"settings\""), "\"known\":" + list_of(1, worker.address(), "up") + ",");
         std::ofstream(folder.path + "/config") << config;
         process.emplace(loop, std::vector<std::string>{WILLOWRILLD},
