--- a/bench/counts_bench.cpp
+++ b/bench/counts_bench.cpp
@@ -1,6 +1,6 @@
 // What counting costs on the serving path, beside a plain array of counters (the floor) and a map by name
 // (the simple way); and what an exchange costs by the size of the fleet.
-#include "counts/book.h"
+#include "scheduler/counts/book.h"
 
 #include <benchmark/benchmark.h>
 
--- a/fuzz/patch_fuzz.cpp
+++ b/fuzz/patch_fuzz.cpp
@@ -1,7 +1,7 @@
 // Feeds arbitrary bytes to the operators' changes of a configuration, and what is taken to the check of whole
 // configurations: nothing crashes, and the same change made twice gives the same text.
-#include "configuration/configuration.h"
-#include "configuration/patch.h"
+#include "system/configuration/configuration.h"
+#include "system/configuration/patch.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/fuzz/seeds.cpp
+++ b/fuzz/seeds.cpp
@@ -7,12 +7,12 @@
 #include <string>
 
 using namespace std::chrono_literals;
-namespace mesh = willowrill::mesh;
+namespace gossip = willowrill::gossip;
 namespace counts = willowrill::counts;
 
 namespace {
 
-void write(const std::string& path, const mesh::Bytes& bytes) {
+void write(const std::string& path, const gossip::Bytes& bytes) {
     std::ofstream(path, std::ios::binary)
         .write(reinterpret_cast<const char*>(bytes.data()), static_cast<std::streamsize>(bytes.size()));
 }
@@ -30,25 +30,24 @@
                               {{5, 0, 2}},
                               {{1, {"t", "c"}}},
                               {{49, counts::MarkKind::cover, 3}, {49, counts::MarkKind::folded, 4}}};
-    const std::vector<std::pair<std::string, mesh::Body>> bodies{
+    const std::vector<std::pair<std::string, gossip::Body>> bodies{
         {"ping",
-         willowrill::members::Message{
-             .kind = willowrill::members::Kind::ping,
+         willowrill::swim::Message{
+             .kind = willowrill::swim::Kind::ping,
              .sequence = 1,
              .life = 100,
-             .news = {{{"other", 50}, {0x7f000001, 2}, willowrill::members::State::suspect, 3}}}},
-        {"sync",
-         willowrill::members::Message{.kind = willowrill::members::Kind::sync_request, .sequence = 2}},
-        {"asked", willowrill::members::Message{.kind = willowrill::members::Kind::ping_request,
-                                               .sequence = 3,
-                                               .life = 50,
-                                               .subject = {0x7f000001, 2}}},
+             .news = {{{"other", 50}, {0x7f000001, 2}, willowrill::swim::State::suspect, 3}}}},
+        {"sync", willowrill::swim::Message{.kind = willowrill::swim::Kind::sync_request, .sequence = 2}},
+        {"asked", willowrill::swim::Message{.kind = willowrill::swim::Kind::ping_request,
+                                            .sequence = 3,
+                                            .life = 50,
+                                            .subject = {0x7f000001, 2}}},
         {"digest", counts::Digest{.keys = {1, 2}, .versions = {3, 4}, .as_of = {1000s, 0s}}},
         {"raise", counts::Digest{.raises = {{1, 2, {"t", "c"}, counts::Outcome::left}}}},
-        {"wants", mesh::Wants{{counts::Identity{"self", 100, 0, 0}.key(), 0, true}, {1, 2, false}}},
+        {"wants", gossip::Wants{{counts::Identity{"self", 100, 0, 0}.key(), 0, true}, {1, 2, false}}},
         {"delta", delta}};
     for (const auto& [name, body] : bodies)
-        write(folder + "/datagram/" + name, mesh::encode(mesh::Frame{9, 1, 1000s, body}));
-    write(folder + "/snapshot/one", mesh::encode(mesh::Snapshot{"self", 60, 1000s, {delta}}));
+        write(folder + "/datagram/" + name, gossip::encode(gossip::Frame{9, 1, 1000s, body}));
+    write(folder + "/snapshot/one", gossip::encode(gossip::Snapshot{"self", 60, 1000s, {delta}}));
     return 0;
 }
--- a/fuzz/snapshot_fuzz.cpp
+++ b/fuzz/snapshot_fuzz.cpp
@@ -1,22 +1,23 @@
 // Bytes from anywhere as a state file, and behind a good head as the snapshot in it.
-#include "counts/book.h"
-#include "mesh/frame.h"
-#include "state/store.h"
+#include "scheduler/atomic_file/store.h"
+#include "scheduler/counts/book.h"
+#include "scheduler/gossip/frame.h"
 
 #include <cstddef>
 #include <cstdint>
 
 using namespace std::chrono_literals;
 namespace counts = willowrill::counts;
-namespace state = willowrill::state;
+namespace atomic_file = willowrill::atomic_file;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::span<const unsigned char> bytes(data, size);
     std::span<const unsigned char> content;
-    static_cast<void>(state::unpack(bytes, 1, content));
-    const state::Bytes packed = state::pack(bytes, 1);
-    if (state::unpack(packed, 1, content) != state::Found::whole || content.size() != size) __builtin_trap();
-    const auto snapshot = willowrill::mesh::decode_snapshot(bytes);
+    static_cast<void>(atomic_file::unpack(bytes, 1, content));
+    const atomic_file::Bytes packed = atomic_file::pack(bytes, 1);
+    if (atomic_file::unpack(packed, 1, content) != atomic_file::Found::whole || content.size() != size)
+        __builtin_trap();
+    const auto snapshot = willowrill::gossip::decode_snapshot(bytes);
     if (!snapshot) return 0;
     counts::Book book({.tenants = 20, .classes = 4, .lives = 10, .raises = 10}, {"self", 100, 1, 1}, 1000s);
     book.count(book.series("t", "c"), counts::Outcome::served);
--- a/src/lab/counts_experiment.cpp
+++ b/src/lab/counts_experiment.cpp
@@ -2,7 +2,7 @@
 
 #include "lab/quantiles.h"
 #include "lab/world.h"
-#include "mesh/seal.h"
+#include "scheduler/gossip/seal.h"
 
 #include <algorithm>
 #include <cmath>
@@ -248,9 +248,9 @@
          .cpu_us_per_update = std::chrono::duration<double, std::micro>(end_busy - busy).count() / updates}};
     double state_bytes = 0;
     for (const counts::Delta& delta :
-         world.node(0).book().save(mesh::largest_datagram - mesh::Sealer::overhead))
-        state_bytes +=
-            static_cast<double>(mesh::encode(mesh::Frame{1, 2, 3s, delta}).size() + mesh::Sealer::overhead);
+         world.node(0).book().save(gossip::largest_datagram - gossip::Sealer::overhead))
+        state_bytes += static_cast<double>(gossip::encode(gossip::Frame{1, 2, 3s, delta}).size() +
+                                           gossip::Sealer::overhead);
     progress("the simple ways");
     out.push_back(push_all(one, state_bytes));
     out.push_back(push_one(one, state_bytes));
--- a/src/lab/fleet.h
+++ b/src/lab/fleet.h
@@ -6,8 +6,8 @@
 #include "lab/process.h"
 #include "lab/proxy.h"
 #include "lab/server.h"
-#include "net/connection.h"
-#include "net/http.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
 
 #include <functional>
 #include <list>
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -211,8 +211,9 @@
                                "willowrilld: real processes on loopback in place of virtual time");
     spread_command->add_option("--out", spread.out, "the table, CSV")->capture_default_str();
     CapacityOptions capacity;
-    CLI::App* capacity_command =
-        app.add_subcommand("capacity", "slopes of a table of sizes (docs/results/scale.csv) and what they come to, Markdown and SVG");
+    CLI::App* capacity_command = app.add_subcommand(
+        "capacity",
+        "slopes of a table of sizes (docs/results/scale.csv) and what they come to, Markdown and SVG");
     capacity_command->add_option("--in", capacity.in, "the table")->capture_default_str();
     capacity_command->add_option("--out", capacity.folder, "the folder")->capture_default_str();
     capacity_command->add_option("--schedulers", capacity.schedulers, "at which size")->capture_default_str();
--- a/src/lab/process.h
+++ b/src/lab/process.h
@@ -2,8 +2,8 @@
 // certain.
 #pragma once
 
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <sys/types.h>
 
--- a/src/lab/proxy.h
+++ b/src/lab/proxy.h
@@ -3,8 +3,8 @@
 // sender advertises.
 #pragma once
 
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <pcg_random.hpp>
 
--- a/src/lab/server.h
+++ b/src/lab/server.h
@@ -2,8 +2,8 @@
 // later, and whoever hangs up before is told of.
 #pragma once
 
-#include "net/connection.h"
-#include "net/http.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/lab/spread/chance.h
+++ b/src/lab/spread/chance.h
@@ -1,7 +1,7 @@
 // What an experiment draws: the same for a seed, in virtual time and with real processes.
 #pragma once
 
-#include "learn/learn.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <pcg_random.hpp>
 
@@ -13,11 +13,11 @@
 
 namespace willowrill::lab::spread {
 
-using learn::mixed, learn::seconds, learn::from_seconds;
+using load_estimates::mixed, load_estimates::seconds, load_estimates::from_seconds;
 
 // Whether a fault hits this one of many: the same for a whole run.
 inline bool chosen(std::uint64_t seed, std::size_t which, double share, std::uint64_t salt) {
-    return learn::unit(mixed(mixed(which + 1) ^ mixed(seed * 1000 + salt))) < share;
+    return load_estimates::unit(mixed(mixed(which + 1) ^ mixed(seed * 1000 + salt))) < share;
 }
 
 class Chance {
--- a/src/lab/spread/crew.cpp
+++ b/src/lab/spread/crew.cpp
@@ -1,6 +1,6 @@
 #include "lab/spread/crew.h"
 
-#include "learn/learn.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 namespace willowrill::lab::spread {
 namespace {
 
-using learn::seconds;
+using load_estimates::seconds;
 constexpr double tiny = 1e-10;
 
 } // namespace
--- a/src/lab/spread/experiment.cpp
+++ b/src/lab/spread/experiment.cpp
@@ -1,6 +1,6 @@
 #include "lab/spread/experiment.h"
 
-#include "net/file.h"
+#include "scheduler/net/file.h"
 
 #include <yaml-cpp/yaml.h>
 
--- a/src/lab/spread/truth.cpp
+++ b/src/lab/spread/truth.cpp
@@ -1,6 +1,6 @@
 #include "lab/spread/truth.h"
 
-#include "learn/learn.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using learn::seconds;
+using load_estimates::seconds;
 
 constexpr std::uint32_t most_attempts = 4;
 constexpr Time keyed_window = 10s, drain_grace = 1s, answer_slack = 20ms;
--- a/src/lab/spread/world.cpp
+++ b/src/lab/spread/world.cpp
@@ -1,6 +1,6 @@
 #include "lab/spread/world.h"
 
-#include "inventory/watch_times.h"
+#include "scheduler/discovery_client/watch_times.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 constexpr Time connect_timeout = 250ms, answer_slack = 20ms;
-const inventory::WatchTimes watch = inventory::watch_times(10s, 1s); // as the program has them
+const discovery_client::WatchTimes watch = discovery_client::watch_times(10s, 1s); // as the program has them
 constexpr std::size_t most_open = 20000, most_bytes = 1U << 30U;
 
 } // namespace
--- a/src/lab/spread/world.h
+++ b/src/lab/spread/world.h
@@ -1,9 +1,9 @@
 // The world of an experiment in virtual time: what `virtual.h` promises.
 #pragma once
 
-#include "core/host.h"
 #include "lab/spread/stage.h"
 #include "lab/spread/virtual.h"
+#include "scheduler/core/host.h"
 
 #include <algorithm>
 #include <deque>
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -1,6 +1,6 @@
 #include "lab/world.h"
 
-#include "mesh/seal.h"
+#include "scheduler/gossip/seal.h"
 
 #include <algorithm>
 #include <numeric>
@@ -17,7 +17,8 @@
 } // namespace
 
 World::World(Options options) : options_(std::move(options)), random_(options_.seed), now_(1'700'000'000s) {
-    if (options_.node.payload == 0) options_.node.payload = mesh::largest_datagram - mesh::Sealer::overhead;
+    if (options_.node.payload == 0)
+        options_.node.payload = gossip::largest_datagram - gossip::Sealer::overhead;
     options_.node.members.seeds = {{first_host, first_port}};
 }
 
@@ -38,8 +39,8 @@
     Instance& one = instances_[at];
     const bool known = with_state && one.saved;
     one.last_number = counts::next_number(now_of(at), random_(), known ? one.saved->number : 0);
-    one.node = std::make_unique<mesh::Node>(options_.node, one.name, one.last_number, one.address, random_(),
-                                            now_of(at));
+    one.node = std::make_unique<gossip::Node>(options_.node, one.name, one.last_number, one.address,
+                                              random_(), now_of(at));
     one.series.clear();
     ++one.starts;
     if (known)
@@ -73,7 +74,7 @@
     }
 }
 
-std::optional<std::size_t> World::find(members::Address address) const {
+std::optional<std::size_t> World::find(swim::Address address) const {
     const std::size_t at = address.host - first_host;
     if (at >= instances_.size() || instances_[at].address != address) return std::nullopt;
     return at;
@@ -86,30 +87,30 @@
 }
 
 void World::flush(std::size_t at) {
-    for (mesh::Outgoing& out : instances_[at].node->sends()) {
+    for (gossip::Outgoing& out : instances_[at].node->sends()) {
         const auto to = find(out.to);
-        const mesh::Bytes bytes = mesh::encode(out.frame);
+        const gossip::Bytes bytes = gossip::encode(out.frame);
         Traffic& mine = instances_[at].traffic;
         for (Traffic* one : {&traffic_, &mine}) {
             ++one->datagrams;
-            one->bytes += bytes.size() + mesh::Sealer::overhead;
+            one->bytes += bytes.size() + gossip::Sealer::overhead;
         }
         if (!to || cuts_[at][*to] || chance(options_.link.loss) ||
-            bytes.size() + mesh::Sealer::overhead > mesh::largest_datagram) {
+            bytes.size() + gossip::Sealer::overhead > gossip::largest_datagram) {
             ++traffic_.lost;
             ++mine.lost;
             continue;
         }
-        std::shared_ptr<const mesh::Frame> frame;
+        std::shared_ptr<const gossip::Frame> frame;
         if (options_.decode) {
-            auto decoded = mesh::decode(bytes);
+            auto decoded = gossip::decode(bytes);
             if (!decoded) {
                 ++traffic_.undecodable;
                 continue;
             }
-            frame = std::make_shared<const mesh::Frame>(std::move(*decoded));
+            frame = std::make_shared<const gossip::Frame>(std::move(*decoded));
         } else {
-            frame = std::make_shared<const mesh::Frame>(std::move(out.frame));
+            frame = std::make_shared<const gossip::Frame>(std::move(out.frame));
         }
         const int copies = chance(options_.link.duplicate) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
@@ -190,7 +191,7 @@
     return std::ranges::all_of(instances_, [&](const Instance& one) {
         if (!one.node) return true;
         const auto seen = 1 + std::ranges::count_if(one.node->members().others(), [](const auto& other) {
-                              return other.second.state == members::State::alive;
+                              return other.second.state == swim::State::alive;
                           });
         return static_cast<std::size_t>(seen) == alive;
     });
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -1,10 +1,10 @@
-// A network in virtual time, and instances on it that run the very code of `mesh::Node`. Loss, delay,
+// A network in virtual time, and instances on it that run the very code of `gossip::Node`. Loss, delay,
 // reorder, duplicates, cuts one way or both, clocks that are off, deaths and restarts; one seed replays a
 // whole run. What is simulated: the network and the clocks. What is real: membership, counts, and the
 // datagrams' form.
 #pragma once
 
-#include "mesh/node.h"
+#include "scheduler/gossip/node.h"
 
 #include <pcg_random.hpp>
 
@@ -18,7 +18,7 @@
 
 namespace willowrill::lab {
 
-using mesh::Time;
+using gossip::Time;
 
 struct Link {
     double loss = 0, duplicate = 0;     // shares
@@ -33,7 +33,7 @@
   public:
     struct Options {
         Link link;
-        mesh::NodeSettings node;
+        gossip::NodeSettings node;
         bool decode = true; // each datagram is decoded from its bytes, as a receiver would
         std::uint64_t seed = 1;
     };
@@ -64,7 +64,7 @@
     static std::string tenant_name(std::uint32_t tenant) { return "tenant-" + std::to_string(tenant); }
 
     bool up(std::size_t at) const { return instances_[at].node != nullptr; }
-    mesh::Node& node(std::size_t at) { return *instances_[at].node; }
+    gossip::Node& node(std::size_t at) { return *instances_[at].node; }
     std::size_t size() const { return instances_.size(); }
     const Traffic& traffic() const { return traffic_; }
     // Real time that the instances' own code took so far, with the encoding of what they sent.
@@ -79,12 +79,12 @@
   private:
     struct Instance {
         std::string name{};
-        members::Address address{};
-        std::unique_ptr<mesh::Node> node{};
+        swim::Address address{};
+        std::unique_ptr<gossip::Node> node{};
         std::vector<counts::Series> series{}; // by tenant; made when first counted
         std::uint64_t last_number = 0;
         std::uint64_t starts = 0;
-        std::optional<mesh::Snapshot> saved{};
+        std::optional<gossip::Snapshot> saved{};
         Time ahead{0};
         Traffic traffic{}; // sent
         Time tick_at{0};   // the one that is in the queue
@@ -94,7 +94,7 @@
         std::uint64_t order = 0; // of those at the same time
         std::uint32_t to = 0, from = 0;
         std::uint64_t start = 0; // of the receiver: what was for a life that is over is lost
-        std::shared_ptr<const mesh::Frame> frame{}; // none: a tick
+        std::shared_ptr<const gossip::Frame> frame{}; // none: a tick
         bool operator>(const Event& other) const {
             return at != other.at ? at > other.at : order > other.order;
         }
@@ -103,7 +103,7 @@
     void start(std::size_t at, bool with_state);
     void flush(std::size_t at);
     void schedule(std::size_t at);
-    std::optional<std::size_t> find(members::Address address) const;
+    std::optional<std::size_t> find(swim::Address address) const;
     bool chance(double share) { return share > 0 && random_() < share * 4294967296.0; }
     Time delay();
 
--- a/src/admin/figures.cpp
+++ b/src/scheduler/admin/figures.cpp
@@ -1,4 +1,4 @@
-#include "admin/figures.h"
+#include "scheduler/admin/figures.h"
 
 #include <string_view>
 #include <utility>
--- a/src/admin/server.cpp
+++ b/src/scheduler/admin/server.cpp
@@ -1,7 +1,7 @@
-#include "admin/server.h"
+#include "scheduler/admin/server.h"
 
-#include "net/connection.h"
-#include "net/http.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/admin/server.h
+++ b/src/scheduler/admin/server.h
@@ -2,9 +2,9 @@
 // One call a connection. It knows the rest of the program by `Service` only.
 #pragma once
 
-#include "admin/figures.h"
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/admin/figures.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <cstdint>
 #include <list>
--- a/src/state/store.cpp
+++ b/src/scheduler/atomic_file/store.cpp
@@ -1,4 +1,4 @@
-#include "state/store.h"
+#include "scheduler/atomic_file/store.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -19,7 +19,7 @@
 #include <system_error>
 #include <utility>
 
-namespace willowrill::state {
+namespace willowrill::atomic_file {
 namespace {
 
 constexpr std::array<unsigned char, 8> magic{'W', 'L', 'W', 'S', 'T', 'A', 'T', 'E'};
@@ -194,4 +194,4 @@
     return out;
 }
 
-} // namespace willowrill::state
+} // namespace willowrill::atomic_file
--- a/src/state/store.h
+++ b/src/scheduler/atomic_file/store.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-namespace willowrill::state {
+namespace willowrill::atomic_file {
 
 using Bytes = std::vector<unsigned char>;
 
@@ -69,4 +69,4 @@
     Disk& disk_;
 };
 
-} // namespace willowrill::state
+} // namespace willowrill::atomic_file
--- a/src/config/settings.cpp
+++ b/src/scheduler/config/settings.cpp
@@ -1,7 +1,7 @@
-#include "config/settings.h"
+#include "scheduler/config/settings.h"
 
-#include "net/file.h"
-#include "net/http.h"
+#include "scheduler/net/file.h"
+#include "scheduler/net/http.h"
 
 #include <simdjson.h>
 
--- a/src/config/settings.h
+++ b/src/scheduler/config/settings.h
@@ -1,7 +1,7 @@
 // What the program is told at its start, from the environment and the file named by PROXY_CONFIG.
 #pragma once
 
-#include "net/socket.h"
+#include "scheduler/net/socket.h"
 
 #include <willowrill/dispatcher.h>
 
--- a/src/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -1,6 +1,6 @@
-#include "core/host.h"
+#include "scheduler/core/host.h"
 
-#include "log/log.h"
+#include "scheduler/log/log.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/counts/book.cpp
+++ b/src/scheduler/counts/book.cpp
@@ -1,4 +1,4 @@
-#include "counts/book.h"
+#include "scheduler/counts/book.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/counts/book.h
+++ b/src/scheduler/counts/book.h
@@ -4,8 +4,8 @@
 // what is assumed.
 #pragma once
 
-#include "counts/life.h"
-#include "counts/wire.h"
+#include "scheduler/counts/life.h"
+#include "scheduler/counts/wire.h"
 
 #include <cstddef>
 #include <map>
--- a/src/counts/life.cpp
+++ b/src/scheduler/counts/life.cpp
@@ -1,4 +1,4 @@
-#include "counts/life.h"
+#include "scheduler/counts/life.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/counts/life.h
+++ b/src/scheduler/counts/life.h
@@ -1,7 +1,7 @@
 // The cells of one life, in the order in which they last changed.
 #pragma once
 
-#include "counts/wire.h"
+#include "scheduler/counts/wire.h"
 
 #include <cstdint>
 #include <limits>
--- a/src/counts/wire.cpp
+++ b/src/scheduler/counts/wire.cpp
@@ -1,4 +1,4 @@
-#include "counts/wire.h"
+#include "scheduler/counts/wire.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/src/ctl/call.cpp
+++ b/src/scheduler/ctl/call.cpp
@@ -1,6 +1,6 @@
-#include "ctl/call.h"
+#include "scheduler/ctl/call.h"
 
-#include "net/http.h"
+#include "scheduler/net/http.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/src/ctl/call.h
+++ b/src/scheduler/ctl/call.h
@@ -1,7 +1,7 @@
 // One call to a scheduler's operators' address, waited for.
 #pragma once
 
-#include "net/socket.h"
+#include "scheduler/net/socket.h"
 
 #include <string>
 
--- a/src/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -1,7 +1,7 @@
 // For operators: checks their file, and asks a running scheduler for what it knows of the fleet.
-#include "ctl/call.h"
-#include "log/log.h"
-#include "site/site.h"
+#include "scheduler/ctl/call.h"
+#include "scheduler/log/log.h"
+#include "scheduler/operator_config/site.h"
 
 #include <CLI/CLI.hpp>
 #include <simdjson.h>
@@ -26,10 +26,10 @@
 };
 
 int check(const Options& options) {
-    std::vector<site::Problem> problems;
+    std::vector<operator_config::Problem> problems;
     try {
-        site::read(options.file);
-    } catch (const site::SiteError& error) {
+        operator_config::read(options.file);
+    } catch (const operator_config::SiteError& error) {
         problems = error.problems();
     }
     if (options.json) {
@@ -42,7 +42,7 @@
         }
         std::cout << "]\n";
     } else {
-        for (const site::Problem& problem : problems)
+        for (const operator_config::Problem& problem : problems)
             std::cerr << problem.text() << '\n';
         if (problems.empty()) std::cout << options.file << ": good\n";
     }
--- a/src/inventory/list.cpp
+++ b/src/scheduler/discovery_client/list.cpp
@@ -1,10 +1,10 @@
-#include "inventory/list.h"
+#include "scheduler/discovery_client/list.h"
 
 #include <simdjson.h>
 
 #include <algorithm>
 
-namespace willowrill::inventory {
+namespace willowrill::discovery_client {
 namespace {
 
 using simdjson::dom::element;
@@ -93,4 +93,4 @@
     return news;
 }
 
-} // namespace willowrill::inventory
+} // namespace willowrill::discovery_client
--- a/src/inventory/list.h
+++ b/src/scheduler/discovery_client/list.h
@@ -1,8 +1,8 @@
 // The inventory: the workers that discovery has named, and its answers read into the module's news.
 #pragma once
 
-#include "config/settings.h"
-#include "net/socket.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/net/socket.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace willowrill::inventory {
+namespace willowrill::discovery_client {
 
 class List {
   public:
@@ -43,4 +43,4 @@
     std::uint64_t version_ = 0;
 };
 
-} // namespace willowrill::inventory
+} // namespace willowrill::discovery_client
--- a/src/inventory/watch.cpp
+++ b/src/scheduler/discovery_client/watch.cpp
@@ -1,13 +1,13 @@
-#include "inventory/watch.h"
+#include "scheduler/discovery_client/watch.h"
 
-#include "learn/back_off.h"
+#include "scheduler/load_estimates/back_off.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-namespace willowrill::inventory {
+namespace willowrill::discovery_client {
 
 using namespace std::chrono_literals;
 
@@ -164,11 +164,12 @@
 void Watch::failed(Call& call, const char* why) {
     drop(call);
     // Asked at once, an overloaded discovery would stay so for as long as its callers are many.
-    if (!calls_.empty()) return silence_.arm(loop_.now() + learn::back_off_after(failures_++, chance()));
+    if (!calls_.empty())
+        return silence_.arm(loop_.now() + load_estimates::back_off_after(failures_++, chance()));
     silence_.disarm();
     watching_ = silent_ = false;
     spdlog::warn("inventory: a call to discovery failed: {}", why);
     news_({willowrill::ListNews::Kind::broken, {}});
 }
 
-} // namespace willowrill::inventory
+} // namespace willowrill::discovery_client
--- a/src/inventory/watch.h
+++ b/src/scheduler/discovery_client/watch.h
@@ -2,11 +2,11 @@
 // that falls silent is broken: discovery is asked beside it, and the first whole answer of any call counts.
 #pragma once
 
-#include "core/host.h"
-#include "inventory/list.h"
-#include "inventory/watch_times.h"
-#include "net/connection.h"
-#include "net/http.h"
+#include "scheduler/core/host.h"
+#include "scheduler/discovery_client/list.h"
+#include "scheduler/discovery_client/watch_times.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
 
 #include <pcg_random.hpp>
 
@@ -14,7 +14,7 @@
 #include <memory>
 #include <vector>
 
-namespace willowrill::inventory {
+namespace willowrill::discovery_client {
 
 class Watch final : public core::Inventory {
   public:
@@ -62,4 +62,4 @@
     std::uint64_t silences_ = 0;
 };
 
-} // namespace willowrill::inventory
+} // namespace willowrill::discovery_client
--- a/src/inventory/watch_times.h
+++ b/src/scheduler/discovery_client/watch_times.h
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <chrono>
 
-namespace willowrill::inventory {
+namespace willowrill::discovery_client {
 
 using willowrill::Duration;
 
@@ -69,4 +69,4 @@
     return out;
 }
 
-} // namespace willowrill::inventory
+} // namespace willowrill::discovery_client
--- a/src/rules.cpp
+++ b/src/scheduler/dispatcher/rules.cpp
@@ -9,9 +9,9 @@
 //
 // A worker is picked by PLUD: the lowest L + I + X. The rest decides who may be ranked, when a job is held,
 // moved, repeated or given up, and what L is when reports are old, late or blind.
-#include "learn/books.h"
-#include "learn/learn.h"
-#include "policy/score.h"
+#include "common/policy/score.h"
+#include "scheduler/load_estimates/books.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -58,7 +58,8 @@
 constexpr double most_crowding = 0.35;  // but not if this share of small jobs finds no room at once
 constexpr double queue_allowance = 0.1; // load beyond full that a job accepts once it has waited its aim
 
-using learn::Attempt, learn::Job, learn::Worker, learn::seconds, learn::from_seconds;
+using load_estimates::Attempt, load_estimates::Job, load_estimates::Worker, load_estimates::seconds,
+    load_estimates::from_seconds;
 
 } // namespace
 
@@ -67,7 +68,7 @@
         for (const JobClass& c : settings.classes) {
             times.runs.add_class(std::max(0.001, seconds(c.aim)), mean_gain);
             first_tries.add_class(c.give_up);
-            offered.add_class(c.kind == none ? learn::Offered::anywhere : c.kind);
+            offered.add_class(c.kind == none ? load_estimates::Offered::anywhere : c.kind);
         }
         tenants.resize(settings.tenants.size());
     }
@@ -103,10 +104,10 @@
             const WorkerEntry& e = workers[id].entry;
             return std::tuple(e.kind, e.key, id);
         });
-        learn::each_run(
+        load_estimates::each_run(
             std::span<const WorkerId>(ready), [&](WorkerId id) { return workers[id].entry.kind; },
             [&](std::span<const WorkerId> alike) {
-                learn::each_home(
+                load_estimates::each_home(
                     {settings.self, settings.dispatchers, alike.size(), few_homes}, alike,
                     [&](WorkerId id) { return workers[id].entry.key; },
                     [&](WorkerId id, bool home) { workers[id].home = home; });
@@ -221,10 +222,10 @@
     // A fresh report replaces L and zeroes X. It left before the answer that carries it, so the job answered
     // is still counted in it: its slots are taken off.
     void note_report(Worker& w, const Report& report, double finished_slots) {
-        if (report.free_slots) kind_slots.reported(w.entry.kind, learn::slots_in(report));
+        if (report.free_slots) kind_slots.reported(w.entry.kind, load_estimates::slots_in(report));
         const double all = kind_slots.of(w.entry.kind);
         const double per_slot = all > 0 ? 1 / all : default_step;
-        const double load = learn::load_in(report, usual_load(w), all, per_slot);
+        const double load = load_estimates::load_in(report, usual_load(w), all, per_slot);
         if (!w.is_news(report, now, from_seconds(blind_s))) return;
         w.report(load - finished_slots * per_slot, now);
         loads.add(w.group(), w.load);
@@ -235,7 +236,7 @@
     // learn it.
     void judge(WorkerId id, Outcome outcome, double slots) {
         Worker& w = workers[id];
-        learn::Zone& zone = zones[w.entry.zone];
+        load_estimates::Zone& zone = zones[w.entry.zone];
         using enum Outcome;
         if (outcome == cancelled || outcome == timed_out || outcome == not_sent) return;
         const bool silent = outcome == connect_failed || outcome == reset;
@@ -260,7 +261,7 @@
 
     // The zone is out, or the last try there failed and this job has had one that did.
     bool shuns_zone(const Job& job, const Worker& w) const {
-        const learn::Zone& zone = zones[w.entry.zone];
+        const load_estimates::Zone& zone = zones[w.entry.zone];
         return now < zone.out_until || (zone.silent > 0 && !job.attempts.empty());
     }
 
@@ -461,7 +462,7 @@
         const auto key_of = [&](WorkerId id) { return workers[id].entry.key; };
         if (job.in.key) holders.order(*job.in.key, holder_spare, ready, key_of);
         // Those in health, those that rest, and those in a zone that seems lost.
-        std::array<learn::Lowest, 3> best;
+        std::array<load_estimates::Lowest, 3> best;
         cold_shares = {};
         std::size_t able = 0, resting = 0;
         for (const WorkerId id : ready) {
@@ -501,7 +502,7 @@
         const Worker& w = workers[id];
         const JobClass& c = class_of(job);
         if (c.kind != none && c.kind != w.entry.kind) return false;
-        if (anchor != none && !learn::same_group(c.repeat_scope, w.entry, workers[anchor].entry))
+        if (anchor != none && !load_estimates::same_group(c.repeat_scope, w.entry, workers[anchor].entry))
             return false;
         return std::ranges::count(job.attempts, id, &Attempt::worker) == 0;
     }
@@ -590,7 +591,7 @@
         if (!is_cold(w)) return true;
         const Duration window = settings.overload_time;
         const double sent = w.cold_sends.sum(window, now), all = offered.to(w.entry.kind) * seconds(window);
-        learn::ColdShare due{warmth(w, now - window), usual_load(w), cold_more};
+        load_estimates::ColdShare due{warmth(w, now - window), usual_load(w), cold_more};
         if (const double slots = kind_slots.of(w.entry.kind); slots > 0 || !some_warm) {
             due.of_slots(std::max(1.0, slots) * seconds(window) / settings.dispatchers,
                          cold_margin * settings.overload_multiple);
@@ -604,10 +605,11 @@
     const JobClass& class_of(const Job& job) const { return settings.classes[job.in.job_class]; }
 
     double chance(const Job& job) const { // the same, however often it is asked for this job
-        return learn::unit(learn::mixed(settings.seed + job.serial * 0x9e3779b97f4a7c15ULL));
+        return load_estimates::unit(
+            load_estimates::mixed(settings.seed + job.serial * 0x9e3779b97f4a7c15ULL));
     }
 
-    double uniform() { return learn::unit(random()); }
+    double uniform() { return load_estimates::unit(random()); }
 
     Attempt* find(JobId id, Index attempt) {
         return id < jobs.size() && attempt < jobs[id].attempts.size() ? &jobs[id].attempts[attempt] : nullptr;
@@ -674,7 +676,7 @@
         for (const Event& event : events)
             std::visit([&](const auto& e) { on(e); }, event);
         no_room.assign(std::max<std::size_t>(settings.kinds, kind_slots.kinds()) + 1, unlimited);
-        const auto is_void = [&](const learn::Agenda::Entry& due) {
+        const auto is_void = [&](const load_estimates::Agenda::Entry& due) {
             return !jobs[due.id].live || jobs[due.id].serial != due.serial;
         };
         while (const auto due = reviews.due(now, is_void))
@@ -696,28 +698,28 @@
 
     Settings settings;
     std::mt19937_64 random;
-    learn::FirstTries first_tries;
-    std::vector<learn::TokenBucket> tenants;
+    load_estimates::FirstTries first_tries;
+    std::vector<load_estimates::TokenBucket> tenants;
     std::vector<Worker> workers;
-    std::vector<learn::Zone> zones;
+    std::vector<load_estimates::Zone> zones;
     std::vector<WorkerId> ready; // in the order of their keys
-    learn::KindSlots kind_slots;
+    load_estimates::KindSlots kind_slots;
     std::vector<Job> jobs;
     std::vector<JobId> waiting;
     std::vector<double> no_room; // by kind of worker needed, 0 for any: slots for which there is no room now
-    learn::Agenda reviews;
-    learn::Holders holders;    // of the job that is being placed: how many workers come before another
-    learn::Shares cold_shares; // of the job that is being placed
-    learn::Rate arrivals;
-    learn::Pulse probes;
+    load_estimates::Agenda reviews;
+    load_estimates::Holders holders; // of the job that is being placed: how many workers come before another
+    load_estimates::Shares cold_shares; // of the job that is being placed
+    load_estimates::Rate arrivals;
+    load_estimates::Pulse probes;
     std::uint64_t last_serial = 0;
-    learn::GroupMeans loads{learn::usual_at_first, mean_gain}; // by kind and zone
-    learn::Offered offered;                                    // slot-seconds a second
-    learn::Times times;
+    load_estimates::GroupMeans loads{load_estimates::usual_at_first, mean_gain}; // by kind and zone
+    load_estimates::Offered offered;                                             // slot-seconds a second
+    load_estimates::Times times;
     double crowding = 0; // share of the jobs of one slot that found no room on arrival
-    learn::TokenBucket retries{.tokens = retry_burst};
+    load_estimates::TokenBucket retries{.tokens = retry_burst};
     bool capacity_changed = false, some_warm = false;
-    learn::Subscription list;
+    load_estimates::Subscription list;
     Time now{0}, armed{-1}, wake_by{0};
     std::vector<Action>* actions = nullptr;
 };
--- a/src/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -1,6 +1,6 @@
-#include "fleet/fleet.h"
+#include "scheduler/fleet/fleet.h"
 
-#include "log/log.h"
+#include "scheduler/log/log.h"
 
 #include <prometheus/metric_family.h>
 #include <prometheus/text_serializer.h>
@@ -19,10 +19,10 @@
 constexpr counts::Series unknown = std::numeric_limits<counts::Series>::max();
 constexpr std::array<std::string_view, counts::outcomes> outcome_names{"served", "refused", "failed", "left"};
 
-std::string member_json(const members::Member& member) {
+std::string member_json(const swim::Member& member) {
     return "{\"name\":" + json_text(member.id.name) + ",\"life\":" + std::to_string(member.id.life) +
-           ",\"address\":" + json_text(mesh::endpoint_of(member.address).text()) + ",\"state\":\"" +
-           std::string(members::name_of(member.state)) +
+           ",\"address\":" + json_text(gossip::endpoint_of(member.address).text()) + ",\"state\":\"" +
+           std::string(swim::name_of(member.state)) +
            "\",\"incarnation\":" + std::to_string(member.incarnation) + "}";
 }
 
@@ -48,7 +48,7 @@
 
 } // namespace
 
-Fleet::Fleet(net::Loop& loop, const site::Site& site, const config::Settings& settings, bool wait)
+Fleet::Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings, bool wait)
     : loop_(loop), names_(settings.names), counts_(site.counts.has_value()),
       mesh_(loop, site, site.instance.empty() ? settings.name : site.instance, wait),
       series_(names_.classes.size() * (names_.tenants.size() + 1), unknown) {}
@@ -86,7 +86,7 @@
 }
 
 std::string Fleet::members_json() const {
-    const members::Swim& members = mesh_.node().members();
+    const swim::Swim& members = mesh_.node().members();
     std::string out = "{\"self\":" + member_json(members.self()) + ",\"members\":[";
     for (const auto& [id, member] : members.others())
         out += (out.back() == '[' ? "\n" : ",\n") + member_json(member);
@@ -95,11 +95,11 @@
 
 std::string Fleet::figures() const {
     Figures out;
-    const mesh::MeshCounters& mesh = mesh_.counters();
-    for (std::size_t cause = 0; cause < mesh::causes; ++cause) {
+    const gossip::MeshCounters& mesh = mesh_.counters();
+    for (std::size_t cause = 0; cause < gossip::causes; ++cause) {
         out.add("mesh_dropped_datagrams_total", "Datagrams dropped unread or without effect, by cause.",
                 MetricType::Counter, number(mesh.dropped[cause]),
-                {{"cause", mesh::name_of(static_cast<mesh::Dropped>(cause))}});
+                {{"cause", gossip::name_of(static_cast<gossip::Dropped>(cause))}});
     }
     const auto counter = [&](const std::string& name, const std::string& help, std::uint64_t value) {
         out.add(name, help, MetricType::Counter, number(value));
@@ -112,7 +112,7 @@
     counter("mesh_sent_datagrams_total", "Datagrams sent.", mesh.sent);
     counter("mesh_sent_bytes_total", "Bytes of these.", mesh.sent_bytes);
     counter("mesh_unsent_datagrams_total", "Datagrams that the system did not take.", mesh.unsent);
-    const mesh::Node& node = mesh_.node();
+    const gossip::Node& node = mesh_.node();
     counter("mesh_held_back_total", "Messages of counts held back by bytes_per_second.",
             node.statistics().frames_held_back);
     std::array<std::size_t, 4> states{};
@@ -121,9 +121,9 @@
         ++states.at(static_cast<std::size_t>(member.state));
     for (std::size_t i = 0; i < states.size(); ++i) {
         out.add("members", "Instances known, this one too, by state.", MetricType::Gauge, number(states[i]),
-                {{"state", std::string(members::name_of(static_cast<members::State>(i)))}});
+                {{"state", std::string(swim::name_of(static_cast<swim::State>(i)))}});
     }
-    const members::Statistics& members = node.members().statistics();
+    const swim::Statistics& members = node.members().statistics();
     counter("members_probes_failed_total", "Probes that nobody answered.", members.probes_failed);
     counter("members_refuted_total", "Times this instance was suspected and said otherwise.",
             members.refuted);
--- a/src/fleet/fleet.h
+++ b/src/scheduler/fleet/fleet.h
@@ -2,10 +2,10 @@
 // the fleet. Knows the host by `core::Ledger`, and nothing of clients or workers.
 #pragma once
 
-#include "config/settings.h"
-#include "core/host.h"
-#include "mesh/mesh.h"
-#include "site/site.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/core/host.h"
+#include "scheduler/gossip/mesh.h"
+#include "scheduler/operator_config/site.h"
 
 #include <functional>
 #include <string>
@@ -18,8 +18,8 @@
 
 class Fleet final : public core::Ledger {
   public:
-    // `site.mesh` is set. `wait`: see `mesh::Mesh`. Throws std::system_error.
-    Fleet(net::Loop& loop, const site::Site& site, const config::Settings& settings, bool wait);
+    // `site.mesh` is set. `wait`: see `gossip::Mesh`. Throws std::system_error.
+    Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings, bool wait);
 
     void ended(Index job_class, Index tenant, Ending ending) override;
 
@@ -27,15 +27,15 @@
     std::string members_json() const;
     std::string figures() const; // in the Prometheus text format
 
-    void set(const site::Site& site) { mesh_.set(site); }
+    void set(const operator_config::Site& site) { mesh_.set(site); }
     void leave(std::function<void()> gone) { mesh_.leave(std::move(gone)); }
-    mesh::Mesh& mesh() { return mesh_; }
+    gossip::Mesh& mesh() { return mesh_; }
 
   private:
     net::Loop& loop_;
     config::Names names_;
     bool counts_;
-    mesh::Mesh mesh_;
+    gossip::Mesh mesh_;
     std::vector<counts::Series> series_; // by class and tenant, the unknown one last; made when first counted
 };
 
--- a/src/frontend/arrival_times.h
+++ b/src/scheduler/frontend/arrival_times.h
@@ -2,7 +2,7 @@
 // not from when the one before it was answered. It holds no bytes and knows no sockets.
 #pragma once
 
-#include "net/clock.h"
+#include "scheduler/net/clock.h"
 
 #include <algorithm>
 #include <array>
--- a/src/frontend/front.cpp
+++ b/src/scheduler/frontend/front.cpp
@@ -1,7 +1,7 @@
-#include "frontend/front.h"
+#include "scheduler/frontend/front.h"
 
-#include "frontend/arrival_times.h"
-#include "frontend/request.h"
+#include "scheduler/frontend/arrival_times.h"
+#include "scheduler/frontend/request.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/frontend/front.h
+++ b/src/scheduler/frontend/front.h
@@ -2,10 +2,10 @@
 // answers.
 #pragma once
 
-#include "config/settings.h"
-#include "core/host.h"
-#include "net/connection.h"
-#include "net/http.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/core/host.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
 
 #include <functional>
 #include <memory>
--- a/src/frontend/request.cpp
+++ b/src/scheduler/frontend/request.cpp
@@ -1,4 +1,4 @@
-#include "frontend/request.h"
+#include "scheduler/frontend/request.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/frontend/request.h
+++ b/src/scheduler/frontend/request.h
@@ -1,10 +1,10 @@
 // A client's HTTP request read as a message. No sockets here.
 #pragma once
 
-#include "config/settings.h"
-#include "core/host.h"
-#include "net/clock.h"
-#include "net/http.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/core/host.h"
+#include "scheduler/net/clock.h"
+#include "scheduler/net/http.h"
 
 #include <string>
 
--- a/src/mesh/frame.cpp
+++ b/src/scheduler/gossip/frame.cpp
@@ -1,4 +1,4 @@
-#include "mesh/frame.h"
+#include "scheduler/gossip/frame.h"
 
 #include "datagram_generated.h"
 
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using flatbuffers::FlatBufferBuilder;
@@ -80,9 +80,9 @@
     return wire::CreateWants(to, to.CreateVectorOfStructs(all));
 }
 
-Offset<wire::Membership> write(FlatBufferBuilder& to, const members::Message& message) {
+Offset<wire::Membership> write(FlatBufferBuilder& to, const swim::Message& message) {
     std::vector<Offset<wire::Member>> news;
-    for (const members::Member& one : message.news) {
+    for (const swim::Member& one : message.news) {
         news.push_back(wire::CreateMember(to, to.CreateString(one.id.name), one.id.life, one.address.host,
                                           one.address.port, static_cast<std::uint8_t>(one.state),
                                           one.incarnation));
@@ -195,18 +195,18 @@
     return good ? std::optional(std::move(out)) : std::nullopt;
 }
 
-std::optional<members::Message> read(const wire::Membership& from) {
-    members::Message out{.kind = static_cast<members::Kind>(from.kind()),
-                         .sequence = from.sequence(),
-                         .life = from.life(),
-                         .subject = {from.host(), from.port()}};
-    if (out.kind > members::Kind::sync) return std::nullopt;
+std::optional<swim::Message> read(const wire::Membership& from) {
+    swim::Message out{.kind = static_cast<swim::Kind>(from.kind()),
+                      .sequence = from.sequence(),
+                      .life = from.life(),
+                      .subject = {from.host(), from.port()}};
+    if (out.kind > swim::Kind::sync) return std::nullopt;
     const bool good = each(from.news(), [&](const wire::Member* one) {
         auto name = name_of(one->name());
-        if (!name || one->state() > static_cast<std::uint8_t>(members::State::left)) return false;
+        if (!name || one->state() > static_cast<std::uint8_t>(swim::State::left)) return false;
         out.news.push_back({{std::move(*name), one->life()},
                             {one->host(), one->port()},
-                            static_cast<members::State>(one->state()),
+                            static_cast<swim::State>(one->state()),
                             one->incarnation()});
         return true;
     });
@@ -237,7 +237,7 @@
     const Written written = std::visit(
         [&](const auto& part) -> Written {
             using Part = std::decay_t<decltype(part)>;
-            const wire::Body kind = std::is_same_v<Part, members::Message> ? wire::Body_Membership
+            const wire::Body kind = std::is_same_v<Part, swim::Message>    ? wire::Body_Membership
                                     : std::is_same_v<Part, counts::Digest> ? wire::Body_Digest
                                     : std::is_same_v<Part, Wants>          ? wire::Body_Wants
                                                                            : wire::Body_Delta;
@@ -304,4 +304,4 @@
     return good ? std::optional(std::move(out)) : std::nullopt;
 }
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/frame.h
+++ b/src/scheduler/gossip/frame.h
@@ -2,8 +2,8 @@
 // anywhere: what is not a frame is told apart by cause and has no effect.
 #pragma once
 
-#include "counts/wire.h"
-#include "members/members.h"
+#include "scheduler/counts/wire.h"
+#include "scheduler/swim/members.h"
 
 #include <cstdint>
 #include <optional>
@@ -12,13 +12,13 @@
 #include <variant>
 #include <vector>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 using Bytes = std::vector<unsigned char>;
 using Time = std::chrono::nanoseconds;
 
 using Wants = std::vector<counts::Want>;
-using Body = std::variant<members::Message, counts::Digest, Wants, counts::Delta>;
+using Body = std::variant<swim::Message, counts::Digest, Wants, counts::Delta>;
 
 struct Frame {
     std::uint64_t life = 0, count = 0; // of the sender; its datagrams' count ascends
@@ -42,4 +42,4 @@
 Bytes encode(const Snapshot& snapshot);
 std::optional<Snapshot> decode_snapshot(std::span<const unsigned char> bytes);
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -1,6 +1,6 @@
-#include "mesh/mesh.h"
+#include "scheduler/gossip/mesh.h"
 
-#include "log/log.h"
+#include "scheduler/log/log.h"
 
 #include <arpa/inet.h>
 #include <sodium.h>
@@ -10,7 +10,7 @@
 #include <system_error>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using namespace std::chrono_literals;
@@ -20,19 +20,19 @@
 constexpr auto open_pause = 200ms;    // between two looks whether a former run has let go of the address
 constexpr auto linger = 200ms;        // after the last words, for those who ask for what they lack
 
-members::Address address_of(const net::Endpoint& endpoint) {
+swim::Address address_of(const net::Endpoint& endpoint) {
     return {ntohl(endpoint.address.sin_addr.s_addr), ntohs(endpoint.address.sin_port)};
 }
 
-std::vector<Key> keys_of(const site::Mesh& mesh) {
+std::vector<Key> keys_of(const operator_config::Mesh& mesh) {
     std::vector<Key> out;
-    for (const site::Key& key : mesh.keys)
+    for (const operator_config::Key& key : mesh.keys)
         out.push_back({static_cast<std::uint32_t>(key.id), key.secret});
     return out;
 }
 
-NodeSettings settings_of(const site::Site& site) {
-    const site::Mesh& mesh = *site.mesh;
+NodeSettings settings_of(const operator_config::Site& site) {
+    const operator_config::Mesh& mesh = *site.mesh;
     NodeSettings out;
     out.payload = largest_datagram - Sealer::overhead;
     out.bytes_per_second = mesh.bytes_per_second;
@@ -47,7 +47,7 @@
         out.members.seeds.push_back(address_of(seed));
     out.interval = 1h;
     if (!site.counts) return out;
-    const site::Counts& counts = *site.counts;
+    const operator_config::Counts& counts = *site.counts;
     out.counts = true;
     out.interval = counts.interval;
     out.rate = counts.rate;
@@ -67,7 +67,7 @@
 
 } // namespace
 
-net::Endpoint endpoint_of(members::Address address) {
+net::Endpoint endpoint_of(swim::Address address) {
     net::Endpoint out;
     out.address.sin_family = AF_INET;
     out.address.sin_addr.s_addr = htonl(address.host);
@@ -75,7 +75,7 @@
     return out;
 }
 
-Mesh::Mesh(net::Loop& loop, const site::Site& site, const std::string& instance, bool wait)
+Mesh::Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait)
     : loop_(loop), settings_(*site.mesh),
       snapshot_every_(site.counts ? site.counts->snapshot_every : Time(0)), sealer_(keys_of(settings_)),
       replay_(4 * settings_.most_members), timer_(loop.wheel(), [this] { on_timer(); }),
@@ -139,7 +139,7 @@
     if (socket_.valid()) loop_.forget(socket_.get());
 }
 
-void Mesh::set(const site::Site& site) {
+void Mesh::set(const operator_config::Site& site) {
     settings_ = *site.mesh;
     sealer_ = Sealer(keys_of(settings_));
     if (site.counts) snapshot_every_ = site.counts->snapshot_every;
@@ -163,7 +163,7 @@
     flush();
 }
 
-void Mesh::take(std::span<const unsigned char> datagram, members::Address from) {
+void Mesh::take(std::span<const unsigned char> datagram, swim::Address from) {
     if (!settings_.networks.contains(from.host)) return drop(Dropped::foreign_network);
     const Sealer::Opened opened = sealer_.open(datagram);
     if (!opened.good) return drop(opened.cause);
@@ -193,13 +193,13 @@
         ++counters_.sent;
         counters_.sent_bytes += sealed.size();
     }
-    for (const members::Change& change : node_->changes()) {
-        const std::string_view state = members::name_of(change.member.state);
+    for (const swim::Change& change : node_->changes()) {
+        const std::string_view state = swim::name_of(change.member.state);
         log::event(spdlog::level::info, "members.changed",
                    {{"member", change.member.id.name},
                     {"life", change.member.id.life},
                     {"state", state},
-                    {"was", change.was ? members::name_of(*change.was) : "unknown"}},
+                    {"was", change.was ? swim::name_of(*change.was) : "unknown"}},
                    "members: " + change.member.id.name + " is " + std::string(state));
     }
     arm();
@@ -235,4 +235,4 @@
     gone_timer_.arm(loop_.now() + linger);
 }
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/mesh.h
+++ b/src/scheduler/gossip/mesh.h
@@ -2,12 +2,12 @@
 // malformed, forged, replayed or foreign ends here, counted by cause.
 #pragma once
 
-#include "mesh/node.h"
-#include "mesh/seal.h"
-#include "mesh/snapshots.h"
-#include "net/loop.h"
-#include "net/socket.h"
-#include "site/site.h"
+#include "scheduler/gossip/node.h"
+#include "scheduler/gossip/seal.h"
+#include "scheduler/gossip/snapshots.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
+#include "scheduler/operator_config/site.h"
 
 #include <array>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include <optional>
 #include <string>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 struct MeshCounters {
     std::uint64_t received = 0, received_bytes = 0, sent = 0, sent_bytes = 0;
@@ -24,18 +24,18 @@
     std::array<std::uint64_t, causes> dropped{};
 };
 
-net::Endpoint endpoint_of(members::Address address);
+net::Endpoint endpoint_of(swim::Address address);
 
 class Mesh final : private net::Pollable {
   public:
     // Throws std::system_error where the address cannot be had. `instance` is the name among the instances.
     // `wait`: a former run of this instance still has the address; it is taken over when that one is gone,
     // and until then this one counts without a word to anyone.
-    Mesh(net::Loop& loop, const site::Site& site, const std::string& instance, bool wait = false);
+    Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait = false);
     ~Mesh() override;
 
-    void
-    set(const site::Site& site); // keys, networks, times and bytes a second; the rest waits for a restart
+    void set(const operator_config::Site&
+                 site); // keys, networks, times and bytes a second; the rest waits for a restart
 
     // The last words; goes on to answer for a moment, until `gone` says so.
     void leave(std::function<void()> gone);
@@ -52,7 +52,7 @@
     void open(bool wait, bool waited = false);
     std::optional<Snapshot> load();
     void take_over(const Snapshot& former);
-    void take(std::span<const unsigned char> datagram, members::Address from);
+    void take(std::span<const unsigned char> datagram, swim::Address from);
     void drop(Dropped cause) { ++counters_.dropped[static_cast<std::size_t>(cause)]; }
     void on_timer();
     void flush(); // what the node wants sent, and told
@@ -60,7 +60,7 @@
     void save();
 
     net::Loop& loop_;
-    site::Mesh settings_;
+    operator_config::Mesh settings_;
     Time snapshot_every_{0};
     net::Fd socket_;
     Sealer sealer_;
@@ -72,4 +72,4 @@
     MeshCounters counters_;
 };
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/node.cpp
+++ b/src/scheduler/gossip/node.cpp
@@ -1,9 +1,9 @@
-#include "mesh/node.h"
+#include "scheduler/gossip/node.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using namespace std::chrono_literals;
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Node::Node(NodeSettings settings, const std::string& instance, std::uint64_t number, members::Address address,
+Node::Node(NodeSettings settings, const std::string& instance, std::uint64_t number, swim::Address address,
            std::uint64_t seed, Time now)
     : settings_(std::move(settings)), swim_(settings_.members, {instance, number}, address, seed, now),
       book_(settings_.limits, {instance, number, settings_.rate, settings_.burst}, now),
@@ -33,7 +33,7 @@
 }
 
 std::vector<Outgoing> Node::sends() { return std::exchange(sends_, {}); }
-std::vector<members::Change> Node::changes() { return std::exchange(changes_, {}); }
+std::vector<swim::Change> Node::changes() { return std::exchange(changes_, {}); }
 
 // Membership goes out in any case: it is little, and without it the others would take this one for dead.
 bool Node::afford(Time now, std::size_t bytes) {
@@ -49,19 +49,19 @@
     return true;
 }
 
-void Node::say(members::Address to, Body body, Time now) {
+void Node::say(swim::Address to, Body body, Time now) {
     sends_.push_back(
         {to, {.life = swim_.self().id.life, .count = ++count_, .sent = now, .body = std::move(body)}});
 }
 
-void Node::collect(members::Actions& actions, Time now) {
-    for (members::Send& send : actions.sends)
+void Node::collect(swim::Actions& actions, Time now) {
+    for (swim::Send& send : actions.sends)
         say(send.to, std::move(send.message), now);
     std::ranges::move(actions.changes, std::back_inserter(changes_));
 }
 
 void Node::start(Time now) {
-    members::Actions actions;
+    swim::Actions actions;
     swim_.start(now, actions);
     collect(actions, now);
 }
@@ -72,7 +72,7 @@
 }
 
 void Node::tick(Time now) {
-    members::Actions actions;
+    swim::Actions actions;
     swim_.tick(now, actions);
     collect(actions, now);
     if (settings_.counts && now >= next_exchange_) {
@@ -103,7 +103,7 @@
 void Node::new_life_if_rivalled(Time now) {
     const std::uint64_t own = swim_.self().id.life;
     if (book_.self().number != own) { // the book began one, as it was taken for dead
-        members::Actions actions;
+        swim::Actions actions;
         swim_.begin_life(book_.self().number, now, actions);
         collect(actions, now);
         return;
@@ -111,18 +111,18 @@
     if (book_.rival() <= own) return;
     const auto rival = swim_.others().find({swim_.self().id.name, book_.rival()});
     // A living rival is a second instance of this name. Both count on, each in its own life.
-    if (rival != swim_.others().end() && rival->second.state != members::State::dead &&
-        rival->second.state != members::State::left)
+    if (rival != swim_.others().end() && rival->second.state != swim::State::dead &&
+        rival->second.state != swim::State::left)
         return;
     book_.begin_life(counts::next_number(now, random_(), book_.rival()), now);
-    members::Actions actions;
+    swim::Actions actions;
     swim_.begin_life(book_.self().number, now, actions);
     collect(actions, now);
 }
 
-void Node::receive(Time now, members::Address from, const Frame& frame) {
-    if (const auto* message = std::get_if<members::Message>(&frame.body)) {
-        members::Actions actions;
+void Node::receive(Time now, swim::Address from, const Frame& frame) {
+    if (const auto* message = std::get_if<swim::Message>(&frame.body)) {
+        swim::Actions actions;
         swim_.receive(now, from, *message, actions);
         collect(actions, now);
     }
@@ -161,9 +161,9 @@
         for (int i = 0; i < 3; ++i)
             exchange(now);
     }
-    members::Actions actions;
+    swim::Actions actions;
     swim_.leave(now, actions);
     collect(actions, now);
 }
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/node.h
+++ b/src/scheduler/gossip/node.h
@@ -2,18 +2,18 @@
 // both of them: `mesh` gives it sockets and a key, the laboratory a network in virtual time.
 #pragma once
 
-#include "counts/book.h"
-#include "members/members.h"
-#include "mesh/frame.h"
+#include "scheduler/counts/book.h"
+#include "scheduler/gossip/frame.h"
+#include "scheduler/swim/members.h"
 
 #include <optional>
 #include <string>
 #include <vector>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 struct NodeSettings {
-    members::Settings members;
+    swim::Settings members;
     bool counts = false;
     counts::Limits limits;
     Time interval{0};                  // between two exchanges that this instance begins
@@ -23,7 +23,7 @@
 };
 
 struct Outgoing {
-    members::Address to;
+    swim::Address to;
     Frame frame;
 };
 
@@ -34,42 +34,42 @@
 
 class Node {
   public:
-    Node(NodeSettings settings, const std::string& instance, std::uint64_t number, members::Address address,
+    Node(NodeSettings settings, const std::string& instance, std::uint64_t number, swim::Address address,
          std::uint64_t seed, Time now);
 
     void start(Time now);
     void tick(Time now);
     Time next() const; // when `tick` is due
-    void receive(Time now, members::Address from, const Frame& frame);
+    void receive(Time now, swim::Address from, const Frame& frame);
     void leave(Time now); // the last words: all counts as they stand now, and that this life is over
 
     // What the calls above want sent, and what they saw change, since these were last asked for.
     std::vector<Outgoing> sends();
-    std::vector<members::Change> changes();
+    std::vector<swim::Change> changes();
 
     void set(NodeSettings settings); // what a reload may change; the limits of the book stay
     counts::Book& book() { return book_; }
     const counts::Book& book() const { return book_; }
-    const members::Swim& members() const { return swim_; }
+    const swim::Swim& members() const { return swim_; }
     const NodeStatistics& statistics() const { return statistics_; }
 
   private:
-    void collect(members::Actions& actions, Time now);
+    void collect(swim::Actions& actions, Time now);
     void exchange(Time now);
-    void say(members::Address to, Body body, Time now);
+    void say(swim::Address to, Body body, Time now);
     bool afford(Time now, std::size_t bytes);
     void new_life_if_rivalled(Time now);
 
     NodeSettings settings_;
-    members::Swim swim_;
+    swim::Swim swim_;
     counts::Book book_;
     pcg32 random_;
     Time next_exchange_{0}, next_fold_{0}, filled_{0};
     double budget_ = 0; // bytes
     std::uint64_t count_ = 0;
     std::vector<Outgoing> sends_;
-    std::vector<members::Change> changes_;
+    std::vector<swim::Change> changes_;
     NodeStatistics statistics_;
 };
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/seal.cpp
+++ b/src/scheduler/gossip/seal.cpp
@@ -1,4 +1,4 @@
-#include "mesh/seal.h"
+#include "scheduler/gossip/seal.h"
 
 #include <sodium.h>
 
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 constexpr unsigned char magic = 0x57;
@@ -94,4 +94,4 @@
     return true;
 }
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/seal.h
+++ b/src/scheduler/gossip/seal.h
@@ -2,7 +2,7 @@
 // memory of those that were taken, so that none is taken twice.
 #pragma once
 
-#include "mesh/frame.h"
+#include "scheduler/gossip/frame.h"
 
 #include <array>
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 inline constexpr unsigned char format = 1; // of the envelope and of what is in it
 
@@ -72,4 +72,4 @@
     std::unordered_map<std::uint64_t, std::list<Sender>::iterator> by_life_;
 };
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/snapshots.cpp
+++ b/src/scheduler/gossip/snapshots.cpp
@@ -1,9 +1,9 @@
-#include "mesh/snapshots.h"
+#include "scheduler/gossip/snapshots.h"
 
 #include <csignal>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 Snapshots::Snapshots(const std::string& folder, const std::string& instance)
     : store_(folder, "counts-" + instance + ".state", snapshot_format, disk_) {
@@ -25,9 +25,9 @@
 }
 
 std::optional<Snapshot> Snapshots::load(std::string& note) {
-    state::Store::Loaded loaded = store_.load();
+    atomic_file::Store::Loaded loaded = store_.load();
     note = std::move(loaded.note);
-    if (loaded.found != state::Found::whole) return std::nullopt;
+    if (loaded.found != atomic_file::Found::whole) return std::nullopt;
     auto out = decode_snapshot(loaded.content);
     if (!out) note = store_.path() + " has a good checksum and no snapshot in it; going on without";
     return out;
@@ -76,4 +76,4 @@
     }
 }
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/mesh/snapshots.h
+++ b/src/scheduler/gossip/snapshots.h
@@ -2,8 +2,8 @@
 // one thread of its own: a disk that hangs must hold up no message.
 #pragma once
 
-#include "mesh/frame.h"
-#include "state/store.h"
+#include "scheduler/atomic_file/store.h"
+#include "scheduler/gossip/frame.h"
 
 #include <condition_variable>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include <string>
 #include <thread>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 
 inline constexpr std::uint32_t snapshot_format = 1;
 
@@ -32,8 +32,8 @@
   private:
     void run();
 
-    state::Disk disk_;
-    state::Store store_;
+    atomic_file::Disk disk_;
+    atomic_file::Store store_;
     mutable std::mutex mutex_;
     std::condition_variable wake_;
     std::optional<Bytes> next_;
@@ -43,4 +43,4 @@
     std::thread writer_; // last: it uses all of the above
 };
 
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/src/upgrade/succession.cpp
+++ b/src/scheduler/hot_restart/succession.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/succession.h"
+#include "scheduler/hot_restart/succession.h"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-namespace willowrill::upgrade {
+namespace willowrill::hot_restart {
 namespace {
 
 using namespace std::chrono_literals;
@@ -302,4 +302,4 @@
     open_door(); // the file was the successor's
 }
 
-} // namespace willowrill::upgrade
+} // namespace willowrill::hot_restart
--- a/src/upgrade/succession.h
+++ b/src/scheduler/hot_restart/succession.h
@@ -2,9 +2,9 @@
 // connection that waits there is lost, and both stay within the limits of one.
 #pragma once
 
-#include "core/host.h"
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/core/host.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <cstddef>
 #include <functional>
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <unordered_set>
 
-namespace willowrill::upgrade {
+namespace willowrill::hot_restart {
 
 // Where a run of the scheduler at this address waits for its successor. None without a folder, or where the
 // path would be too long for a socket.
@@ -92,4 +92,4 @@
     net::Timer tell_;
 };
 
-} // namespace willowrill::upgrade
+} // namespace willowrill::hot_restart
--- a/src/learn/back_off.h
+++ b/src/scheduler/load_estimates/back_off.h
@@ -5,10 +5,10 @@
 #include <chrono>
 #include <cmath>
 
-namespace willowrill::learn {
+namespace willowrill::load_estimates {
 
-// The longest pause, whatever has failed before: see `inventory::WatchTimes` for the sum that it is a part
-// of.
+// The longest pause, whatever has failed before: see `discovery_client::WatchTimes` for the sum that it is a
+// part of.
 inline constexpr std::chrono::nanoseconds longest_back_off = std::chrono::seconds(1);
 inline constexpr std::chrono::nanoseconds first_back_off = std::chrono::milliseconds(500);
 
@@ -22,4 +22,4 @@
     return std::chrono::duration_cast<std::chrono::nanoseconds>(pause * (1 - chance / 2));
 }
 
-} // namespace willowrill::learn
+} // namespace willowrill::load_estimates
--- a/src/learn/books.h
+++ b/src/scheduler/load_estimates/books.h
@@ -2,9 +2,9 @@
 // books: they keep what they are told and what follows from it by sums, and know neither rules nor time.
 #pragma once
 
-#include "learn/back_off.h"
-#include "learn/learn.h"
-#include "policy/score.h"
+#include "common/policy/score.h"
+#include "scheduler/load_estimates/back_off.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace willowrill::learn {
+namespace willowrill::load_estimates {
 
 constexpr double usual_at_first = 0.5; // a load, while none is known
 
@@ -227,4 +227,4 @@
     Time ask_at_{-1};
 };
 
-} // namespace willowrill::learn
+} // namespace willowrill::load_estimates
--- a/src/learn/learn.h
+++ b/src/scheduler/load_estimates/learn.h
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-namespace willowrill::learn {
+namespace willowrill::load_estimates {
 
 using Time = std::chrono::nanoseconds;
 
@@ -495,4 +495,4 @@
     }
 };
 
-} // namespace willowrill::learn
+} // namespace willowrill::load_estimates
--- a/src/log/log.cpp
+++ b/src/scheduler/log/log.cpp
@@ -1,6 +1,6 @@
-#include "log/log.h"
+#include "scheduler/log/log.h"
 
-#include "log/outlet.h"
+#include "scheduler/log/outlet.h"
 
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/pattern_formatter.h>
--- a/src/log/outlet.cpp
+++ b/src/scheduler/log/outlet.cpp
@@ -1,4 +1,4 @@
-#include "log/outlet.h"
+#include "scheduler/log/outlet.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/src/main.cpp
+++ b/src/scheduler/main.cpp
@@ -1,17 +1,17 @@
 // The scheduler: reads what it is told, puts the parts together, and ends in good order.
-#include "admin/server.h"
-#include "config/settings.h"
-#include "core/host.h"
-#include "fleet/fleet.h"
-#include "frontend/front.h"
-#include "inventory/list.h"
-#include "inventory/watch.h"
-#include "log/log.h"
-#include "net/loop.h"
-#include "net/signals.h"
-#include "site/site.h"
-#include "upgrade/succession.h"
-#include "upstream/pool.h"
+#include "scheduler/admin/server.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/core/host.h"
+#include "scheduler/discovery_client/list.h"
+#include "scheduler/discovery_client/watch.h"
+#include "scheduler/fleet/fleet.h"
+#include "scheduler/frontend/front.h"
+#include "scheduler/hot_restart/succession.h"
+#include "scheduler/log/log.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/signals.h"
+#include "scheduler/operator_config/site.h"
+#include "scheduler/upstream/pool.h"
 
 #include <sys/resource.h>
 
@@ -48,17 +48,17 @@
 // The longest wait for discovery's first word on a remembered list; as a rule it comes or fails sooner.
 constexpr auto confirm_time = 5s;
 
-class Program final : private admin::Service, private upgrade::Succession::Run {
+class Program final : private admin::Service, private hot_restart::Succession::Run {
   public:
-    Program(config::Settings settings, site::Site at_site, std::optional<std::string> door,
-            std::optional<upgrade::Inheritance> inheritance)
+    Program(config::Settings settings, operator_config::Site at_site, std::optional<std::string> door,
+            std::optional<hot_restart::Inheritance> inheritance)
         : settings_(std::move(settings)), settings_in_file_(settings_), site_(std::move(at_site)),
           list_(settings_.names), pool_(loop_, list_, settings_.report_fields,
                                         {.connections = per_side(settings_),
                                          .idle = settings_.connection_idle,
                                          .connect_timeout = settings_.connect_timeout}),
           watch_times_(
-              inventory::watch_times(settings_.decisions.list_valid, settings_.decisions.drain_grace)),
+              discovery_client::watch_times(settings_.decisions.list_valid, settings_.decisions.drain_grace)),
           watch_(loop_, settings_.discovery, watch_times_, settings_.decisions.seed, list_,
                  [this](auto news) { on_list(std::move(news)); }),
           host_(settings_.decisions, settings_.max_open, config::message_memory(settings_), pool_, watch_),
@@ -217,8 +217,8 @@
         ++reloads_;
         try {
             // All that can turn one of them down comes before anything is taken over.
-            std::optional<site::Site> site_now;
-            if (!site_.file.empty()) site_now = site::read(site_.file);
+            std::optional<operator_config::Site> site_now;
+            if (!site_.file.empty()) site_now = operator_config::read(site_.file);
             config::Settings read = config::read([](const char* name) { return std::getenv(name); });
             if (site_now && !may_take_over(*site_now)) return;
             const config::Settings before = std::exchange(settings_in_file_, std::move(read));
@@ -237,9 +237,9 @@
         }
     }
 
-    bool may_take_over(const site::Site& now) const {
+    bool may_take_over(const operator_config::Site& now) const {
         std::string later;
-        for (const std::string& key : site::needs_restart(site_, now))
+        for (const std::string& key : operator_config::needs_restart(site_, now))
             later += (later.empty() ? "" : ", ") + key;
         if (later.empty()) return true;
         log::event(spdlog::level::warn, "site.needs_restart", {{"keys", later}},
@@ -247,7 +247,7 @@
         return false;
     }
 
-    void take_over(site::Site now) {
+    void take_over(operator_config::Site now) {
         if (!now.log.level.empty()) spdlog::set_level(spdlog::level::from_str(now.log.level));
         if (fleet_) fleet_->set(now);
         site_ = std::move(now);
@@ -335,19 +335,19 @@
 
     const config::Settings settings_;   // as at the start; the parts refer to them
     config::Settings settings_in_file_; // as last read
-    site::Site site_;                   // the operators' file, as last taken over
+    operator_config::Site site_;        // the operators' file, as last taken over
     net::Loop loop_;
-    inventory::List list_;
+    discovery_client::List list_;
     upstream::Pool pool_;
-    const inventory::WatchTimes watch_times_;
-    inventory::Watch watch_;
+    const discovery_client::WatchTimes watch_times_;
+    discovery_client::Watch watch_;
     core::Host host_;
     frontend::Front front_;
     net::Timer next_batch_, watch_again_, leave_, finish_, fresh_, confirm_;
     std::optional<willowrill::ListNews> remembered_; // until discovery's first word
     net::Time end_{0};                               // of what is taken in late
     net::Signals signals_;
-    upgrade::Succession succession_;
+    hot_restart::Succession succession_;
     std::optional<fleet::Fleet> fleet_;
     std::optional<admin::Server> admin_;
     bool serving_ = false, stopping_ = false, ending_ = false;
@@ -369,29 +369,31 @@
 // Says in one line each what is wrong with the operators' file; 0 where it is good.
 int check(const std::string& file) {
     try {
-        willowrill::site::read(file);
+        willowrill::operator_config::read(file);
         std::cout << file << ": good\n";
         return 0;
-    } catch (const willowrill::site::SiteError& error) {
-        for (const willowrill::site::Problem& problem : error.problems())
+    } catch (const willowrill::operator_config::SiteError& error) {
+        for (const willowrill::operator_config::Problem& problem : error.problems())
             std::cerr << problem.text() << '\n';
         return 1;
     }
 }
 
 int serve(const Options& options) {
-    namespace site = willowrill::site;
+    namespace operator_config = willowrill::operator_config;
     std::optional<willowrill::net::HeldSignals> held(std::in_place, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
     auto settings = willowrill::config::read([](const char* name) { return std::getenv(name); });
-    site::Site at_site = options.site_file.empty() ? site::Site() : site::read(options.site_file);
+    operator_config::Site at_site =
+        options.site_file.empty() ? operator_config::Site() : operator_config::read(options.site_file);
     if (!at_site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(at_site.log.level));
     spdlog::cfg::load_env_levels(); // SPDLOG_LEVEL=debug tells of every attempt, whatever the file says
-    const bool json = options.log_format.empty() ? at_site.log.format == site::LogFormat::json
+    const bool json = options.log_format.empty() ? at_site.log.format == operator_config::LogFormat::json
                                                  : options.log_format == "json";
     if (json) willowrill::log::set_up(true, at_site.instance.empty() ? settings.name : at_site.instance);
-    auto door = willowrill::upgrade::door_path(std::getenv("TMPDIR"), settings.listen);
-    std::optional<willowrill::upgrade::Inheritance> inheritance;
-    if (door) inheritance = willowrill::upgrade::inherit(*door, settings.listen, willowrill::handover_time);
+    auto door = willowrill::hot_restart::door_path(std::getenv("TMPDIR"), settings.listen);
+    std::optional<willowrill::hot_restart::Inheritance> inheritance;
+    if (door)
+        inheritance = willowrill::hot_restart::inherit(*door, settings.listen, willowrill::handover_time);
     willowrill::Program program(std::move(settings), std::move(at_site), std::move(door),
                                 std::move(inheritance));
     held.reset();
--- a/src/net/connection.cpp
+++ b/src/scheduler/net/connection.cpp
@@ -1,4 +1,4 @@
-#include "net/connection.h"
+#include "scheduler/net/connection.h"
 
 #include <sys/socket.h>
 
--- a/src/net/connection.h
+++ b/src/scheduler/net/connection.h
@@ -1,8 +1,8 @@
 // One TCP connection with its buffers. It moves bytes and tells its owner; it knows no protocol.
 #pragma once
 
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <string>
 #include <string_view>
--- a/src/net/file.cpp
+++ b/src/scheduler/net/file.cpp
@@ -1,6 +1,6 @@
-#include "net/file.h"
+#include "scheduler/net/file.h"
 
-#include "net/socket.h"
+#include "scheduler/net/socket.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/src/net/http.cpp
+++ b/src/scheduler/net/http.cpp
@@ -1,4 +1,4 @@
-#include "net/http.h"
+#include "scheduler/net/http.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/net/loop.cpp
+++ b/src/scheduler/net/loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.h"
+#include "scheduler/net/loop.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/net/loop.h
+++ b/src/scheduler/net/loop.h
@@ -1,7 +1,7 @@
 // The one loop of the program: poll(2), timers, and a hook at the end of each round.
 #pragma once
 
-#include "net/wheel.h"
+#include "scheduler/net/wheel.h"
 
 #include <poll.h>
 
--- a/src/net/signals.cpp
+++ b/src/scheduler/net/signals.cpp
@@ -1,4 +1,4 @@
-#include "net/signals.h"
+#include "scheduler/net/signals.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/src/net/signals.h
+++ b/src/scheduler/net/signals.h
@@ -1,8 +1,8 @@
 // Signals, told as events of the loop: one of a kind at a time, as the system does.
 #pragma once
 
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <csignal>
 #include <functional>
--- a/src/net/socket.cpp
+++ b/src/scheduler/net/socket.cpp
@@ -1,4 +1,4 @@
-#include "net/socket.h"
+#include "scheduler/net/socket.h"
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
--- a/src/net/wheel.cpp
+++ b/src/scheduler/net/wheel.cpp
@@ -1,4 +1,4 @@
-#include "net/wheel.h"
+#include "scheduler/net/wheel.h"
 
 #include <algorithm>
 
--- a/src/net/wheel.h
+++ b/src/scheduler/net/wheel.h
@@ -1,7 +1,7 @@
 // Timers in coarse ticks on a wheel. Arming and disarming cost the same however many there are.
 #pragma once
 
-#include "net/clock.h"
+#include "scheduler/net/clock.h"
 
 #include <array>
 #include <cstdint>
--- a/src/site/addresses.cpp
+++ b/src/scheduler/operator_config/addresses.cpp
@@ -1,8 +1,8 @@
-#include "site/addresses.h"
+#include "scheduler/operator_config/addresses.h"
 
 #include <boost/asio/ip/network_v4.hpp>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 
 bool AddressSet::add(std::string_view text) {
     namespace ip = boost::asio::ip;
@@ -22,4 +22,4 @@
 
 bool AddressSet::contains(std::uint32_t address) const { return boost::icl::contains(set_, address); }
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/addresses.h
+++ b/src/scheduler/operator_config/addresses.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 
 class AddressSet {
   public:
@@ -23,4 +23,4 @@
         set_; // of 64 bits, so that the end of the last network has a name
 };
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/error.cpp
+++ b/src/scheduler/operator_config/error.cpp
@@ -1,10 +1,10 @@
-#include "site/error.h"
+#include "scheduler/operator_config/error.h"
 
 #include <algorithm>
 #include <numeric>
 #include <utility>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 namespace {
 
 std::size_t distance(std::string_view a, std::string_view b) { // Levenshtein's, one row at a time
@@ -43,4 +43,4 @@
     return std::string(best);
 }
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/error.h
+++ b/src/scheduler/operator_config/error.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 
 struct Problem {
     std::string file;
@@ -19,4 +19,4 @@
 // The nearest of `known` to a mistyped word, empty where none is near enough to be meant.
 std::string nearest(std::string_view word, const std::vector<std::string_view>& known);
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/section.cpp
+++ b/src/scheduler/operator_config/section.cpp
@@ -1,4 +1,4 @@
-#include "site/section.h"
+#include "scheduler/operator_config/section.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <limits>
 #include <utility>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 namespace {
 
 using std::chrono::nanoseconds;
@@ -201,4 +201,4 @@
     return Section(file_, path_of(key), find(key).value_or(YAML::Node()), problems_);
 }
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/section.h
+++ b/src/scheduler/operator_config/section.h
@@ -2,7 +2,7 @@
 // look at the file shows all of them; a key that nobody has asked for is one of them.
 #pragma once
 
-#include "site/error.h"
+#include "scheduler/operator_config/error.h"
 
 #include <yaml-cpp/yaml.h>
 
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 
 class Section {
   public:
@@ -59,4 +59,4 @@
 std::string to_text(std::chrono::nanoseconds span);
 std::optional<std::chrono::nanoseconds> to_span(std::string_view text);
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/site.cpp
+++ b/src/scheduler/operator_config/site.cpp
@@ -1,7 +1,7 @@
-#include "site/site.h"
+#include "scheduler/operator_config/site.h"
 
-#include "net/file.h"
-#include "site/section.h"
+#include "scheduler/net/file.h"
+#include "scheduler/operator_config/section.h"
 
 #include <sodium.h>
 #include <sys/stat.h>
@@ -12,7 +12,7 @@
 #include <limits>
 #include <utility>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 namespace {
 
 using namespace std::chrono_literals;
@@ -237,4 +237,4 @@
     return out;
 }
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/site/site.h
+++ b/src/scheduler/operator_config/site.h
@@ -2,9 +2,9 @@
 // not at all. Everything in it is off until it is named.
 #pragma once
 
-#include "net/socket.h"
-#include "site/addresses.h"
-#include "site/error.h"
+#include "scheduler/net/socket.h"
+#include "scheduler/operator_config/addresses.h"
+#include "scheduler/operator_config/error.h"
 
 #include <array>
 #include <chrono>
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 
 using Span = std::chrono::nanoseconds;
 using Secret = std::array<unsigned char, 32>;
@@ -85,4 +85,4 @@
 // What takes effect only at a restart, by the keys' names; the rest of `now` may be taken over in service.
 std::vector<std::string> needs_restart(const Site& before, const Site& now);
 
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/src/simhost/main.cpp
+++ b/src/scheduler/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "scheduler/simulator_adapter/wire.h"
 
 #include <exception>
 #include <iostream>
@@ -8,7 +8,7 @@
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        willowrill::simhost::Host host;
+        willowrill::simulator_adapter::Host host;
         std::string line;
         while (std::getline(std::cin, line)) {
             std::cout << host.handle_line(line) << '\n' << std::flush;
--- a/src/simhost/wire.cpp
+++ b/src/scheduler/simulator_adapter/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "scheduler/simulator_adapter/wire.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-namespace willowrill::simhost {
+namespace willowrill::simulator_adapter {
 namespace {
 
 using Json = rapidjson::Value;
@@ -620,4 +620,4 @@
     return {buffers_->reply.GetString(), buffers_->reply.GetSize()};
 }
 
-} // namespace willowrill::simhost
+} // namespace willowrill::simulator_adapter
--- a/src/simhost/wire.h
+++ b/src/scheduler/simulator_adapter/wire.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace willowrill::simhost {
+namespace willowrill::simulator_adapter {
 
 // The input is not what the wire allows. The text is one plain line.
 class WireError : public std::runtime_error {
@@ -37,4 +37,4 @@
     std::unique_ptr<Buffers> buffers_;
 };
 
-} // namespace willowrill::simhost
+} // namespace willowrill::simulator_adapter
--- a/src/members/members.cpp
+++ b/src/scheduler/swim/members.cpp
@@ -1,11 +1,11 @@
-#include "members/members.h"
+#include "scheduler/swim/members.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <utility>
 
-namespace willowrill::members {
+namespace willowrill::swim {
 namespace {
 
 constexpr std::size_t worst_health = 8;
@@ -487,4 +487,4 @@
     out.changes.push_back({former, State::alive});
 }
 
-} // namespace willowrill::members
+} // namespace willowrill::swim
--- a/src/members/members.h
+++ b/src/scheduler/swim/members.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-namespace willowrill::members {
+namespace willowrill::swim {
 
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds; // of one clock, that of the instance
@@ -181,4 +181,4 @@
     Statistics statistics_;
 };
 
-} // namespace willowrill::members
+} // namespace willowrill::swim
--- a/src/upstream/answer.cpp
+++ b/src/scheduler/upstream/answer.cpp
@@ -1,4 +1,4 @@
-#include "upstream/answer.h"
+#include "scheduler/upstream/answer.h"
 
 #include <simdjson.h>
 
--- a/src/upstream/answer.h
+++ b/src/scheduler/upstream/answer.h
@@ -1,8 +1,8 @@
 // What a worker's answer means: outcomes, notes and load reports. No sockets here.
 #pragma once
 
-#include "config/settings.h"
-#include "net/http.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/net/http.h"
 
 #include <willowrill/dispatcher.h>
 
--- a/src/upstream/pool.cpp
+++ b/src/scheduler/upstream/pool.cpp
@@ -1,4 +1,4 @@
-#include "upstream/pool.h"
+#include "scheduler/upstream/pool.h"
 
 #include <spdlog/spdlog.h>
 
@@ -238,7 +238,7 @@
     bool reused_ = false; // has carried an attempt before
 };
 
-Pool::Pool(net::Loop& loop, const inventory::List& list, const std::vector<config::ReportName>& fields,
+Pool::Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
            PoolLimits limits)
     : loop_(loop), list_(list), fields_(fields), limits_(limits) {}
 Pool::~Pool() = default;
--- a/src/upstream/pool.h
+++ b/src/scheduler/upstream/pool.h
@@ -1,11 +1,11 @@
 // The connections to the workers. Each carries one attempt at a time.
 #pragma once
 
-#include "core/host.h"
-#include "inventory/list.h"
-#include "net/connection.h"
-#include "net/http.h"
-#include "upstream/answer.h"
+#include "scheduler/core/host.h"
+#include "scheduler/discovery_client/list.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/http.h"
+#include "scheduler/upstream/answer.h"
 
 #include <cstdint>
 #include <list>
@@ -32,7 +32,7 @@
 
 class Pool final : public core::Upstream {
   public:
-    Pool(net::Loop& loop, const inventory::List& list, const std::vector<config::ReportName>& fields,
+    Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
          PoolLimits limits);
     ~Pool() override;
     void set_host(core::Host& host) { host_ = &host; } // the host and the pool know each other
@@ -63,7 +63,7 @@
     bool make_room();
 
     net::Loop& loop_;
-    const inventory::List& list_;
+    const discovery_client::List& list_;
     const std::vector<config::ReportName>& fields_;
     PoolLimits limits_;
     core::Host* host_ = nullptr;
--- a/src/budget/cold_budget.cpp
+++ b/src/system/budget/cold_budget.cpp
@@ -1,4 +1,4 @@
-#include "budget/cold_budget.h"
+#include "system/budget/cold_budget.h"
 
 #include <algorithm>
 
--- a/src/budget/retry_budget.cpp
+++ b/src/system/budget/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "budget/retry_budget.h"
+#include "system/budget/retry_budget.h"
 
 #include <algorithm>
 
--- a/src/compression/compression.cpp
+++ b/src/system/compression/compression.cpp
@@ -1,4 +1,4 @@
-#include "compression/compression.h"
+#include "system/compression/compression.h"
 
 #include <zstd.h>
 
--- a/src/configuration/configuration.cpp
+++ b/src/system/configuration/configuration.cpp
@@ -1,7 +1,7 @@
-#include "configuration/configuration.h"
+#include "system/configuration/configuration.h"
 
-#include "configuration/json_text.h"
-#include "configuration/schema.h"
+#include "system/configuration/json_text.h"
+#include "system/configuration/schema.h"
 
 #include <fmt/format.h>
 #include <rapidjson/document.h>
--- a/src/configuration/configuration.h
+++ b/src/system/configuration/configuration.h
@@ -2,7 +2,7 @@
 // read or contradicts itself is refused with a sentence that names the place. Pure.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <chrono>
 #include <cstdint>
--- a/src/configuration/control_state.cpp
+++ b/src/system/configuration/control_state.cpp
@@ -1,8 +1,8 @@
-#include "configuration/control_state.h"
+#include "system/configuration/control_state.h"
 
-#include "compression/compression.h"
-#include "configuration/json_text.h"
-#include "configuration/patch.h"
+#include "system/compression/compression.h"
+#include "system/configuration/json_text.h"
+#include "system/configuration/patch.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
--- a/src/configuration/control_state.h
+++ b/src/system/configuration/control_state.h
@@ -2,8 +2,8 @@
 // taken, so that one sent again is acknowledged again. Orders are applied to it one after the other. Pure.
 #pragma once
 
-#include "configuration/configuration.h"
-#include "errors/error.h"
+#include "system/configuration/configuration.h"
+#include "system/errors/error.h"
 
 #include <array>
 #include <cstddef>
--- a/src/configuration/json_text.cpp
+++ b/src/system/configuration/json_text.cpp
@@ -1,4 +1,4 @@
-#include "configuration/json_text.h"
+#include "system/configuration/json_text.h"
 
 #include <fmt/format.h>
 #include <rapidjson/error/en.h>
--- a/src/configuration/json_text.h
+++ b/src/system/configuration/json_text.h
@@ -2,7 +2,7 @@
 // errors that name the place. Pure.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <rapidjson/document.h>
 #include <rapidjson/schema.h>
--- a/src/configuration/patch.cpp
+++ b/src/system/configuration/patch.cpp
@@ -1,7 +1,7 @@
-#include "configuration/patch.h"
+#include "system/configuration/patch.h"
 
-#include "configuration/json_text.h"
-#include "configuration/schema.h"
+#include "system/configuration/json_text.h"
+#include "system/configuration/schema.h"
 
 #include <fmt/format.h>
 
--- a/src/configuration/patch.h
+++ b/src/system/configuration/patch.h
@@ -2,7 +2,7 @@
 // result is a whole configuration, which is checked as one that was sent whole. Pure.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <optional>
 #include <string>
--- a/src/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -1,7 +1,7 @@
-#include "control/control_plane.h"
+#include "system/control/control_plane.h"
 
-#include "control/directory.h"
-#include "replication/codec.h"
+#include "system/control/directory.h"
+#include "system/replication/codec.h"
 
 #include <fmt/format.h>
 
--- a/src/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -2,16 +2,16 @@
 // list and the directory to sockets and timers. Everything but the disk runs on the one thread of the loop.
 #pragma once
 
-#include "control/core_mesh.h"
-#include "control/core_node.h"
-#include "control/lease_gossip.h"
-#include "control/list_owners.h"
-#include "control/operator_api.h"
-#include "distribution/scheduler_hub.h"
-#include "http/server.h"
-#include "metrics/metrics_server.h"
-#include "settings/settings.h"
-#include "transport/frame_connection.h"
+#include "system/control/core_mesh.h"
+#include "system/control/core_node.h"
+#include "system/control/lease_gossip.h"
+#include "system/control/list_owners.h"
+#include "system/control/operator_api.h"
+#include "system/distribution/scheduler_hub.h"
+#include "system/http/server.h"
+#include "system/metrics/metrics_server.h"
+#include "system/settings/settings.h"
+#include "system/transport/frame_connection.h"
 
 #include <map>
 #include <memory>
--- a/src/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -1,6 +1,6 @@
-#include "control/core_mesh.h"
+#include "system/control/core_mesh.h"
 
-#include "settings/settings.h"
+#include "system/settings/settings.h"
 
 #include <utility>
 
--- a/src/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -2,8 +2,8 @@
 // connection that it dialled; what it accepted it only reads. One thread.
 #pragma once
 
-#include "distribution/push_messages.h"
-#include "transport/frame_connection.h"
+#include "system/distribution/push_messages.h"
+#include "system/transport/frame_connection.h"
 
 #include <functional>
 #include <map>
--- a/src/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -1,4 +1,4 @@
-#include "control/core_node.h"
+#include "system/control/core_node.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
--- a/src/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -2,11 +2,11 @@
 // One thread.
 #pragma once
 
-#include "control/disk_worker.h"
-#include "control/order_queue.h"
-#include "replication/replica.h"
-#include "settings/settings.h"
-#include "transport/process.h"
+#include "system/control/disk_worker.h"
+#include "system/control/order_queue.h"
+#include "system/replication/replica.h"
+#include "system/settings/settings.h"
+#include "system/transport/process.h"
 
 #include <deque>
 #include <functional>
--- a/src/control/directory.cpp
+++ b/src/system/control/directory.cpp
@@ -1,4 +1,4 @@
-#include "control/directory.h"
+#include "system/control/directory.h"
 
 namespace willowrill::control {
 namespace {
--- a/src/control/directory.h
+++ b/src/system/control/directory.h
@@ -2,7 +2,7 @@
 // nearest others. Pure.
 #pragma once
 
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 #include <string>
 #include <vector>
--- a/src/control/disk.cpp
+++ b/src/system/control/disk.cpp
@@ -1,8 +1,8 @@
-#include "control/disk.h"
+#include "system/control/disk.h"
 
-#include "compression/compression.h"
-#include "configuration/control_state.h"
-#include "replication/codec.h"
+#include "system/compression/compression.h"
+#include "system/configuration/control_state.h"
+#include "system/replication/codec.h"
 
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
--- a/src/control/disk.h
+++ b/src/system/control/disk.h
@@ -2,9 +2,9 @@
 // thread; every call waits for the disk.
 #pragma once
 
-#include "errors/error.h"
-#include "replication/replica.h"
-#include "storage/record_ring.h"
+#include "system/errors/error.h"
+#include "system/replication/replica.h"
+#include "system/storage/record_ring.h"
 
 #include <filesystem>
 #include <memory>
--- a/src/control/disk_worker.cpp
+++ b/src/system/control/disk_worker.cpp
@@ -1,4 +1,4 @@
-#include "control/disk_worker.h"
+#include "system/control/disk_worker.h"
 
 #include <fmt/format.h>
 
--- a/src/control/disk_worker.h
+++ b/src/system/control/disk_worker.h
@@ -2,8 +2,8 @@
 // holds up nothing else. Answers come as events on the loop. All calls on the loop's thread.
 #pragma once
 
-#include "control/disk.h"
-#include "transport/asio.h"
+#include "system/control/disk.h"
+#include "system/transport/asio.h"
 
 #include <filesystem>
 #include <functional>
--- a/src/control/lease_gossip.cpp
+++ b/src/system/control/lease_gossip.cpp
@@ -1,6 +1,6 @@
-#include "control/lease_gossip.h"
+#include "system/control/lease_gossip.h"
 
-#include "membership/codec.h"
+#include "system/membership/codec.h"
 
 #include <utility>
 
--- a/src/control/lease_gossip.h
+++ b/src/system/control/lease_gossip.h
@@ -4,7 +4,7 @@
 // whole list. Pure; one thread.
 #pragma once
 
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/control/list_owners.cpp
+++ b/src/system/control/list_owners.cpp
@@ -1,7 +1,7 @@
-#include "control/list_owners.h"
+#include "system/control/list_owners.h"
 
-#include "discovery/codec.h"
-#include "transport/process.h"
+#include "system/discovery/codec.h"
+#include "system/transport/process.h"
 
 #include <utility>
 
--- a/src/control/list_owners.h
+++ b/src/system/control/list_owners.h
@@ -2,9 +2,9 @@
 // the platform, and everyone takes in the newest list. One thread.
 #pragma once
 
-#include "control/platform_reader.h"
-#include "discovery/instances.h"
-#include "ownership/ownership.h"
+#include "system/control/platform_reader.h"
+#include "system/discovery/instances.h"
+#include "system/ownership/ownership.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/control/main.cpp
+++ b/src/system/control/main.cpp
@@ -1,6 +1,6 @@
 // willowrill-control: one process of the control plane.
-#include "control/control_plane.h"
-#include "transport/process.h"
+#include "system/control/control_plane.h"
+#include "system/transport/process.h"
 
 #include <CLI/CLI.hpp>
 #include <fmt/format.h>
--- a/src/control/operator_api.cpp
+++ b/src/system/control/operator_api.cpp
@@ -1,4 +1,4 @@
-#include "control/operator_api.h"
+#include "system/control/operator_api.h"
 
 #include <fmt/format.h>
 
--- a/src/control/operator_api.h
+++ b/src/system/control/operator_api.h
@@ -2,9 +2,9 @@
 // others name it, or say at once that they cannot. One thread.
 #pragma once
 
-#include "control/core_node.h"
-#include "http/server.h"
-#include "metrics/metrics.h"
+#include "system/control/core_node.h"
+#include "system/http/server.h"
+#include "system/metrics/metrics.h"
 
 #include <set>
 #include <string>
--- a/src/control/order_queue.cpp
+++ b/src/system/control/order_queue.cpp
@@ -1,4 +1,4 @@
-#include "control/order_queue.h"
+#include "system/control/order_queue.h"
 
 #include <utility>
 
--- a/src/control/order_queue.h
+++ b/src/system/control/order_queue.h
@@ -3,9 +3,9 @@
 // sockets.
 #pragma once
 
-#include "configuration/control_state.h"
-#include "errors/error.h"
-#include "replication/replica.h"
+#include "system/configuration/control_state.h"
+#include "system/errors/error.h"
+#include "system/replication/replica.h"
 
 #include <cstdint>
 #include <deque>
--- a/src/control/platform_reader.cpp
+++ b/src/system/control/platform_reader.cpp
@@ -1,4 +1,4 @@
-#include "control/platform_reader.h"
+#include "system/control/platform_reader.h"
 
 #include <fmt/format.h>
 
--- a/src/control/platform_reader.h
+++ b/src/system/control/platform_reader.h
@@ -2,11 +2,11 @@
 // again and again, within the rate that all callers share. One thread.
 #pragma once
 
-#include "discovery/instances.h"
-#include "http/client.h"
-#include "metrics/metrics.h"
-#include "ownership/ownership.h"
-#include "settings/settings.h"
+#include "system/discovery/instances.h"
+#include "system/http/client.h"
+#include "system/metrics/metrics.h"
+#include "system/ownership/ownership.h"
+#include "system/settings/settings.h"
 
 #include <functional>
 #include <map>
--- a/src/data/answer_head.cpp
+++ b/src/system/data/answer_head.cpp
@@ -1,4 +1,4 @@
-#include "data/answer_head.h"
+#include "system/data/answer_head.h"
 
 namespace willowrill::data {
 namespace {
--- a/src/data/answer_head.h
+++ b/src/system/data/answer_head.h
@@ -2,7 +2,7 @@
 // answered with what, and of what has surely not run, stand here alone.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <string>
 #include <string_view>
--- a/src/data/context.h
+++ b/src/system/data/context.h
@@ -2,14 +2,14 @@
 // workers. One thread.
 #pragma once
 
-#include "budget/cold_budget.h"
-#include "budget/retry_budget.h"
-#include "data/in_force.h"
-#include "data/worker_pool.h"
-#include "metrics/metrics.h"
-#include "routing/selector.h"
-#include "settings/settings.h"
-#include "transport/process.h"
+#include "system/budget/cold_budget.h"
+#include "system/budget/retry_budget.h"
+#include "system/data/in_force.h"
+#include "system/data/worker_pool.h"
+#include "system/metrics/metrics.h"
+#include "system/routing/selector.h"
+#include "system/settings/settings.h"
+#include "system/transport/process.h"
 
 #include <map>
 #include <set>
--- a/src/data/core_connection.cpp
+++ b/src/system/data/core_connection.cpp
@@ -1,7 +1,7 @@
-#include "data/core_connection.h"
+#include "system/data/core_connection.h"
 
-#include "distribution/push_messages.h"
-#include "transport/process.h"
+#include "system/distribution/push_messages.h"
+#include "system/transport/process.h"
 
 #include <utility>
 
--- a/src/data/core_connection.h
+++ b/src/system/data/core_connection.h
@@ -2,11 +2,11 @@
 // thread.
 #pragma once
 
-#include "distribution/core_session.h"
-#include "membership/lease_table.h"
-#include "replication/types.h"
-#include "settings/settings.h"
-#include "transport/frame_connection.h"
+#include "system/distribution/core_session.h"
+#include "system/membership/lease_table.h"
+#include "system/replication/types.h"
+#include "system/settings/settings.h"
+#include "system/transport/frame_connection.h"
 
 #include <functional>
 #include <optional>
--- a/src/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -1,9 +1,9 @@
-#include "data/data_plane.h"
+#include "system/data/data_plane.h"
 
-#include "discovery/codec.h"
-#include "distribution/held_state.h"
-#include "distribution/push_messages.h"
-#include "membership/codec.h"
+#include "system/discovery/codec.h"
+#include "system/distribution/held_state.h"
+#include "system/distribution/push_messages.h"
+#include "system/membership/codec.h"
 
 #include <fmt/format.h>
 
--- a/src/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -2,16 +2,16 @@
 // what the core tells it. Everything runs on the one thread of the loop.
 #pragma once
 
-#include "data/context.h"
-#include "data/core_connection.h"
-#include "data/front.h"
-#include "data/reading_exchange.h"
-#include "discovery/instances.h"
-#include "distribution/held_members.h"
-#include "http/server.h"
-#include "membership/lease_table.h"
-#include "metrics/metrics_server.h"
-#include "settings/settings.h"
+#include "system/data/context.h"
+#include "system/data/core_connection.h"
+#include "system/data/front.h"
+#include "system/data/reading_exchange.h"
+#include "system/discovery/instances.h"
+#include "system/distribution/held_members.h"
+#include "system/http/server.h"
+#include "system/membership/lease_table.h"
+#include "system/metrics/metrics_server.h"
+#include "system/settings/settings.h"
 
 #include <memory>
 #include <optional>
--- a/src/data/exchange.cpp
+++ b/src/system/data/exchange.cpp
@@ -1,7 +1,7 @@
-#include "data/exchange.h"
+#include "system/data/exchange.h"
 
-#include "http/server.h"
-#include "ownership/ownership.h"
+#include "system/http/server.h"
+#include "system/ownership/ownership.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/data/exchange.h
+++ b/src/system/data/exchange.h
@@ -3,11 +3,11 @@
 // answer.
 #pragma once
 
-#include "data/answer_head.h"
-#include "data/context.h"
-#include "data/upstream_request.h"
-#include "errors/error.h"
-#include "stream/event_splitter.h"
+#include "system/data/answer_head.h"
+#include "system/data/context.h"
+#include "system/data/upstream_request.h"
+#include "system/errors/error.h"
+#include "system/stream/event_splitter.h"
 
 #include <memory>
 #include <optional>
--- a/src/data/exchange_relay.cpp
+++ b/src/system/data/exchange_relay.cpp
@@ -1,5 +1,5 @@
 // How an exchange talks to the worker of an attempt, and passes its answer on to the client.
-#include "data/exchange.h"
+#include "system/data/exchange.h"
 
 #include <fmt/format.h>
 
--- a/src/data/front.cpp
+++ b/src/system/data/front.cpp
@@ -1,8 +1,8 @@
-#include "data/front.h"
+#include "system/data/front.h"
 
-#include "data/exchange.h"
-#include "http/server.h"
-#include "transport/socket_options.h"
+#include "system/data/exchange.h"
+#include "system/http/server.h"
+#include "system/transport/socket_options.h"
 
 #include <fmt/format.h>
 
--- a/src/data/front.h
+++ b/src/system/data/front.h
@@ -1,7 +1,7 @@
 // The clients' side: accepts connections, reads whole requests, and has an exchange answer each. One thread.
 #pragma once
 
-#include "data/context.h"
+#include "system/data/context.h"
 
 #include <memory>
 
--- a/src/data/in_force.h
+++ b/src/system/data/in_force.h
@@ -2,8 +2,8 @@
 // an older one than before. Requests keep the snapshot they began with.
 #pragma once
 
-#include "configuration/configuration.h"
-#include "replication/types.h"
+#include "system/configuration/configuration.h"
+#include "system/replication/types.h"
 
 #include <memory>
 #include <set>
--- a/src/data/main.cpp
+++ b/src/system/data/main.cpp
@@ -1,6 +1,6 @@
 // willowrill-data: one process of the data plane.
-#include "data/data_plane.h"
-#include "transport/process.h"
+#include "system/data/data_plane.h"
+#include "system/transport/process.h"
 
 #include <CLI/CLI.hpp>
 #include <fmt/format.h>
--- a/src/data/reading_exchange.cpp
+++ b/src/system/data/reading_exchange.cpp
@@ -1,4 +1,4 @@
-#include "data/reading_exchange.h"
+#include "system/data/reading_exchange.h"
 
 #include <fmt/format.h>
 
--- a/src/data/reading_exchange.h
+++ b/src/system/data/reading_exchange.h
@@ -4,11 +4,11 @@
 // thread.
 #pragma once
 
-#include "data/context.h"
-#include "distribution/homes.h"
-#include "distribution/reading_delta.h"
-#include "http/client.h"
-#include "transport/frame_connection.h"
+#include "system/data/context.h"
+#include "system/distribution/homes.h"
+#include "system/http/client.h"
+#include "system/load_reports/load_report_delta.h"
+#include "system/transport/frame_connection.h"
 
 #include <map>
 #include <memory>
@@ -38,7 +38,7 @@
         transport::FrameConnectionPtr connection;
         bool dialling = false;
         Clock::time_point heard;
-        distribution::ReadingListener listener; // of what came on the connection
+        load_reports::ReadingListener listener; // of what came on the connection
     };
     struct Prober {
         std::shared_ptr<http_client::Client> client;
@@ -66,7 +66,7 @@
     transport::FrameListener listener_;
     std::vector<membership::Lease> members_;
     std::map<transport::FrameConnectionPtr, Group> subscribers_;
-    std::map<Group, distribution::ReadingTeller> tellers_; // of groups that have subscribers
+    std::map<Group, load_reports::ReadingTeller> tellers_; // of groups that have subscribers
     std::map<std::string, Source> sources_;                // by "service", or "service@zone" between homes
     std::set<std::string> home_of_;                        // services this scheduler is home to
     std::map<std::string, Clock::time_point> silent_;      // schedulers that were silent, and when
--- a/src/data/upstream_request.cpp
+++ b/src/system/data/upstream_request.cpp
@@ -1,4 +1,4 @@
-#include "data/upstream_request.h"
+#include "system/data/upstream_request.h"
 
 #include <fmt/format.h>
 
--- a/src/data/upstream_request.h
+++ b/src/system/data/upstream_request.h
@@ -1,8 +1,8 @@
 // What is sent to a worker for a client's request, and which headers pass in either direction. Pure.
 #pragma once
 
-#include "configuration/configuration.h"
-#include "transport/asio.h"
+#include "system/configuration/configuration.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 #include <cstdint>
--- a/src/data/worker_pool.cpp
+++ b/src/system/data/worker_pool.cpp
@@ -1,7 +1,7 @@
-#include "data/worker_pool.h"
+#include "system/data/worker_pool.h"
 
-#include "settings/settings.h"
-#include "transport/socket_options.h"
+#include "system/settings/settings.h"
+#include "system/transport/socket_options.h"
 
 #include <utility>
 
--- a/src/data/worker_pool.h
+++ b/src/system/data/worker_pool.h
@@ -2,7 +2,7 @@
 // one that its worker has closed is not used again. Bounds what is open to a worker. One thread.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 #include <deque>
--- a/src/discovery/codec.h
+++ b/src/system/discovery/codec.h
@@ -1,7 +1,7 @@
 // Lists of workers as JSON between processes of the system. Throws on anything else.
 #pragma once
 
-#include "discovery/instances.h"
+#include "system/discovery/instances.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/discovery/instances.cpp
+++ b/src/system/discovery/instances.cpp
@@ -1,4 +1,4 @@
-#include "discovery/instances.h"
+#include "system/discovery/instances.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/discovery/instances.h
+++ b/src/system/discovery/instances.h
@@ -2,7 +2,7 @@
 // time, who holds a fencing token for it: what was read under an older token is not taken in. Pure.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <chrono>
 #include <compare>
--- a/src/distribution/core_session.cpp
+++ b/src/system/distribution/core_session.cpp
@@ -1,4 +1,4 @@
-#include "distribution/core_session.h"
+#include "system/distribution/core_session.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/distribution/core_session.h
+++ b/src/system/distribution/core_session.h
@@ -3,7 +3,7 @@
 // connections and time come from outside.
 #pragma once
 
-#include "distribution/push_messages.h"
+#include "system/distribution/push_messages.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/distribution/held_members.cpp
+++ b/src/system/distribution/held_members.cpp
@@ -1,6 +1,6 @@
-#include "distribution/held_members.h"
+#include "system/distribution/held_members.h"
 
-#include "membership/codec.h"
+#include "system/membership/codec.h"
 
 namespace willowrill::distribution {
 
--- a/src/distribution/held_members.h
+++ b/src/system/distribution/held_members.h
@@ -1,7 +1,7 @@
 // The members as a scheduler holds them, on one session with a core member. Pure.
 #pragma once
 
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/distribution/held_state.cpp
+++ b/src/system/distribution/held_state.cpp
@@ -1,6 +1,6 @@
-#include "distribution/held_state.h"
+#include "system/distribution/held_state.h"
 
-#include "distribution/push_messages.h"
+#include "system/distribution/push_messages.h"
 
 #include <utility>
 
--- a/src/distribution/held_state.h
+++ b/src/system/distribution/held_state.h
@@ -2,9 +2,9 @@
 // one than before. Pure.
 #pragma once
 
-#include "configuration/configuration.h"
-#include "errors/error.h"
-#include "replication/types.h"
+#include "system/configuration/configuration.h"
+#include "system/errors/error.h"
+#include "system/replication/types.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/distribution/homes.cpp
+++ b/src/system/distribution/homes.cpp
@@ -1,6 +1,6 @@
-#include "distribution/homes.h"
+#include "system/distribution/homes.h"
 
-#include "ownership/ownership.h"
+#include "system/ownership/ownership.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/distribution/homes.h
+++ b/src/system/distribution/homes.h
@@ -3,7 +3,7 @@
 // members known are.
 #pragma once
 
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 #include <set>
 #include <string>
--- a/src/distribution/push_messages.cpp
+++ b/src/system/distribution/push_messages.cpp
@@ -1,7 +1,7 @@
-#include "distribution/push_messages.h"
+#include "system/distribution/push_messages.h"
 
-#include "configuration/patch.h"
-#include "membership/codec.h"
+#include "system/configuration/patch.h"
+#include "system/membership/codec.h"
 
 namespace willowrill::distribution {
 
--- a/src/distribution/push_messages.h
+++ b/src/system/distribution/push_messages.h
@@ -3,9 +3,9 @@
 // change names it in its next renewal (`lacks`) and is sent the whole. Pure.
 #pragma once
 
-#include "configuration/control_state.h"
-#include "membership/lease_table.h"
-#include "replication/types.h"
+#include "system/configuration/control_state.h"
+#include "system/membership/lease_table.h"
+#include "system/replication/types.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/distribution/scheduler_hub.cpp
+++ b/src/system/distribution/scheduler_hub.cpp
@@ -1,7 +1,7 @@
-#include "distribution/scheduler_hub.h"
+#include "system/distribution/scheduler_hub.h"
 
-#include "discovery/codec.h"
-#include "membership/codec.h"
+#include "system/discovery/codec.h"
+#include "system/membership/codec.h"
 
 namespace willowrill::distribution {
 
--- a/src/distribution/scheduler_hub.h
+++ b/src/system/distribution/scheduler_hub.h
@@ -5,12 +5,12 @@
 // older state gets a newer one from any member. Pure; one thread.
 #pragma once
 
-#include "configuration/control_state.h"
-#include "discovery/instances.h"
-#include "distribution/push_messages.h"
-#include "membership/lease_table.h"
-#include "replication/types.h"
-#include "transport/frame.h"
+#include "system/configuration/control_state.h"
+#include "system/discovery/instances.h"
+#include "system/distribution/push_messages.h"
+#include "system/membership/lease_table.h"
+#include "system/replication/types.h"
+#include "system/transport/frame.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/http/client.cpp
+++ b/src/system/http/client.cpp
@@ -1,6 +1,6 @@
-#include "http/client.h"
+#include "system/http/client.h"
 
-#include "transport/socket_options.h"
+#include "system/transport/socket_options.h"
 
 #include <utility>
 
--- a/src/http/client.h
+++ b/src/system/http/client.h
@@ -2,7 +2,7 @@
 // thread.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 #include <functional>
--- a/src/http/server.cpp
+++ b/src/system/http/server.cpp
@@ -1,6 +1,6 @@
-#include "http/server.h"
+#include "system/http/server.h"
 
-#include "transport/socket_options.h"
+#include "system/transport/socket_options.h"
 
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
--- a/src/http/server.h
+++ b/src/system/http/server.h
@@ -2,8 +2,8 @@
 // heads, bodies, connections and time. One thread.
 #pragma once
 
-#include "errors/error.h"
-#include "transport/asio.h"
+#include "system/errors/error.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 #include <functional>
--- a/src/distribution/reading_delta.cpp
+++ b/src/system/load_reports/load_report_delta.cpp
@@ -1,11 +1,11 @@
-#include "distribution/reading_delta.h"
+#include "system/load_reports/load_report_delta.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 #include <vector>
 
-namespace willowrill::distribution {
+namespace willowrill::load_reports {
 namespace {
 
 using nlohmann::json;
@@ -109,4 +109,4 @@
         if (const auto worker = workers.find(id); worker != workers.end()) worker->second.take(reading);
 }
 
-} // namespace willowrill::distribution
+} // namespace willowrill::load_reports
--- a/src/distribution/reading_delta.h
+++ b/src/system/load_reports/load_report_delta.h
@@ -2,8 +2,8 @@
 // last to change a choice; for all others a single time says how fresh they still are. Pure.
 #pragma once
 
-#include "routing/selector.h"
-#include "routing/worker.h"
+#include "system/routing/selector.h"
+#include "system/routing/worker.h"
 
 #include <nlohmann/json.hpp>
 
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-namespace willowrill::distribution {
+namespace willowrill::load_reports {
 
 // Whether schedulers that go by `told` might choose otherwise if they knew `fresh`. `capacity`: of the
 // worker.
@@ -43,4 +43,4 @@
 
 inline constexpr std::size_t most_workers_told = 65536;
 
-} // namespace willowrill::distribution
+} // namespace willowrill::load_reports
--- a/src/membership/codec.h
+++ b/src/system/membership/codec.h
@@ -1,7 +1,7 @@
 // Leases as JSON. Throws on anything else.
 #pragma once
 
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/membership/lease_table.cpp
+++ b/src/system/membership/lease_table.cpp
@@ -1,4 +1,4 @@
-#include "membership/lease_table.h"
+#include "system/membership/lease_table.h"
 
 namespace willowrill::membership {
 
--- a/src/metrics/metrics.cpp
+++ b/src/system/metrics/metrics.cpp
@@ -1,4 +1,4 @@
-#include "metrics/metrics.h"
+#include "system/metrics/metrics.h"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
--- a/src/metrics/metrics_server.cpp
+++ b/src/system/metrics/metrics_server.cpp
@@ -1,4 +1,4 @@
-#include "metrics/metrics_server.h"
+#include "system/metrics/metrics_server.h"
 
 #include <fmt/format.h>
 
--- a/src/metrics/metrics_server.h
+++ b/src/system/metrics/metrics_server.h
@@ -1,8 +1,8 @@
 // Serves a process's figures at a port of its own. One thread.
 #pragma once
 
-#include "http/server.h"
-#include "metrics/metrics.h"
+#include "system/http/server.h"
+#include "system/metrics/metrics.h"
 
 #include <functional>
 #include <optional>
--- a/src/ownership/ownership.cpp
+++ b/src/system/ownership/ownership.cpp
@@ -1,4 +1,4 @@
-#include "ownership/ownership.h"
+#include "system/ownership/ownership.h"
 
 #include <algorithm>
 
--- a/src/ownership/ownership.h
+++ b/src/system/ownership/ownership.h
@@ -3,7 +3,7 @@
 // Pure.
 #pragma once
 
-#include "discovery/instances.h"
+#include "system/discovery/instances.h"
 
 #include <chrono>
 #include <cstdint>
--- a/src/replication/codec.cpp
+++ b/src/system/replication/codec.cpp
@@ -1,4 +1,4 @@
-#include "replication/codec.h"
+#include "system/replication/codec.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/replication/durability.cpp
+++ b/src/system/replication/durability.cpp
@@ -1,6 +1,6 @@
 // What a member knows of its disk: saves that are under way, what waits for them, and how it comes back after
 // the disk refused one.
-#include "replication/replica.h"
+#include "system/replication/replica.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/replication/election.cpp
+++ b/src/system/replication/election.cpp
@@ -1,6 +1,6 @@
 // How a member becomes the primary of a new epoch. The same way serves failover, changes of the in-sync set
 // and changes of the witnesses: the primary of an epoch stands for the next one.
-#include "replication/replica.h"
+#include "system/replication/replica.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/replication/primary.cpp
+++ b/src/system/replication/primary.cpp
@@ -1,5 +1,5 @@
 // What the primary of an epoch does: replicate, confirm that it still is the primary, watch over the members.
-#include "replication/replica.h"
+#include "system/replication/replica.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/replication/replica.cpp
+++ b/src/system/replication/replica.cpp
@@ -1,6 +1,6 @@
 // What a member does as a witness and as a backup; the election is in election.cpp, the primary in
 // primary.cpp.
-#include "replication/replica.h"
+#include "system/replication/replica.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/replication/replica.h
+++ b/src/system/replication/replica.h
@@ -16,7 +16,7 @@
 // once both of its records have been written anew and read back.
 #pragma once
 
-#include "replication/types.h"
+#include "system/replication/types.h"
 
 #include <chrono>
 #include <cstddef>
--- a/src/routing/prefill_cost.cpp
+++ b/src/system/routing/prefill_cost.cpp
@@ -1,4 +1,4 @@
-#include "routing/prefill_cost.h"
+#include "system/routing/prefill_cost.h"
 
 namespace willowrill::routing {
 namespace {
--- a/src/routing/selector.cpp
+++ b/src/system/routing/selector.cpp
@@ -1,7 +1,7 @@
-#include "routing/selector.h"
+#include "system/routing/selector.h"
 
-#include "ownership/ownership.h"
-#include "policy/score.h"
+#include "common/policy/score.h"
+#include "system/ownership/ownership.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/routing/selector.h
+++ b/src/system/routing/selector.h
@@ -3,10 +3,10 @@
 // other regions are the last resort. Pure; randomness comes from outside.
 #pragma once
 
-#include "budget/cold_budget.h"
-#include "configuration/configuration.h"
-#include "routing/prefill_cost.h"
-#include "routing/worker.h"
+#include "system/budget/cold_budget.h"
+#include "system/configuration/configuration.h"
+#include "system/routing/prefill_cost.h"
+#include "system/routing/worker.h"
 
 #include <cstdint>
 #include <functional>
--- a/src/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -1,6 +1,6 @@
-#include "routing/worker.h"
+#include "system/routing/worker.h"
 
-#include "policy/score.h"
+#include "common/policy/score.h"
 
 #include <algorithm>
 
--- a/src/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -2,7 +2,7 @@
 // dispatched since (X), and what failed. Pure.
 #pragma once
 
-#include "discovery/instances.h"
+#include "system/discovery/instances.h"
 
 #include <chrono>
 #include <deque>
--- a/src/settings/settings.cpp
+++ b/src/system/settings/settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/settings.h"
+#include "system/settings/settings.h"
 
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
--- a/src/settings/settings.h
+++ b/src/system/settings/settings.h
@@ -2,7 +2,7 @@
 // WILLOWRILL_BOOT). Fields that are not known are left alone; a known one of the wrong type is an error.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <chrono>
 #include <cstdint>
--- a/src/simulation/cluster.cpp
+++ b/src/system/simulation/cluster.cpp
@@ -1,6 +1,6 @@
-#include "simulation/cluster.h"
+#include "system/simulation/cluster.h"
 
-#include "simulation/scheduler.h"
+#include "system/simulation/scheduler.h"
 
 #include <fmt/format.h>
 
--- a/src/simulation/cluster.h
+++ b/src/system/simulation/cluster.h
@@ -4,8 +4,8 @@
 // word counts.
 #pragma once
 
-#include "simulation/history.h"
-#include "simulation/operators.h"
+#include "system/simulation/history.h"
+#include "system/simulation/operators.h"
 
 #include <cstdint>
 
--- a/src/simulation/disk.cpp
+++ b/src/system/simulation/disk.cpp
@@ -1,4 +1,4 @@
-#include "simulation/disk.h"
+#include "system/simulation/disk.h"
 
 #include <utility>
 
--- a/src/simulation/disk.h
+++ b/src/system/simulation/disk.h
@@ -2,8 +2,8 @@
 // seconds, and may be cut off by the end of the process or of the power.
 #pragma once
 
-#include "replication/replica.h"
-#include "simulation/event_queue.h"
+#include "system/replication/replica.h"
+#include "system/simulation/event_queue.h"
 
 #include <deque>
 #include <functional>
--- a/src/simulation/history.cpp
+++ b/src/system/simulation/history.cpp
@@ -1,6 +1,6 @@
-#include "simulation/history.h"
+#include "system/simulation/history.h"
 
-#include "configuration/patch.h"
+#include "system/configuration/patch.h"
 
 #include <fmt/format.h>
 
--- a/src/simulation/history.h
+++ b/src/system/simulation/history.h
@@ -2,9 +2,9 @@
 // own word counts.
 #pragma once
 
-#include "configuration/control_state.h"
-#include "replication/types.h"
-#include "simulation/event_queue.h"
+#include "system/configuration/control_state.h"
+#include "system/replication/types.h"
+#include "system/simulation/event_queue.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -1,4 +1,4 @@
-#include "simulation/member.h"
+#include "system/simulation/member.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
--- a/src/simulation/member.h
+++ b/src/system/simulation/member.h
@@ -2,12 +2,12 @@
 // and model connections.
 #pragma once
 
-#include "control/order_queue.h"
-#include "distribution/scheduler_hub.h"
-#include "replication/replica.h"
-#include "simulation/disk.h"
-#include "simulation/history.h"
-#include "simulation/network.h"
+#include "system/control/order_queue.h"
+#include "system/distribution/scheduler_hub.h"
+#include "system/replication/replica.h"
+#include "system/simulation/disk.h"
+#include "system/simulation/history.h"
+#include "system/simulation/network.h"
 
 #include <deque>
 #include <functional>
--- a/src/simulation/network.cpp
+++ b/src/system/simulation/network.cpp
@@ -1,4 +1,4 @@
-#include "simulation/network.h"
+#include "system/simulation/network.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/simulation/network.h
+++ b/src/system/simulation/network.h
@@ -2,7 +2,7 @@
 // that lasts, when a process ends, or when somebody resets them. A machine without power says nothing.
 #pragma once
 
-#include "simulation/event_queue.h"
+#include "system/simulation/event_queue.h"
 
 #include <cstdint>
 #include <deque>
--- a/src/simulation/operators.cpp
+++ b/src/system/simulation/operators.cpp
@@ -1,6 +1,6 @@
-#include "simulation/operators.h"
+#include "system/simulation/operators.h"
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <fmt/format.h>
 
--- a/src/simulation/operators.h
+++ b/src/system/simulation/operators.h
@@ -2,7 +2,7 @@
 // and evacuate zones; they lose answers and send the same again, to any member.
 #pragma once
 
-#include "simulation/member.h"
+#include "system/simulation/member.h"
 
 #include <deque>
 #include <functional>
--- a/src/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "simulation/scheduler.h"
+#include "system/simulation/scheduler.h"
 
 #include <utility>
 
--- a/src/simulation/scheduler.h
+++ b/src/system/simulation/scheduler.h
@@ -2,9 +2,9 @@
 // data plane does: never an older one than it holds.
 #pragma once
 
-#include "distribution/core_session.h"
-#include "distribution/held_state.h"
-#include "simulation/member.h"
+#include "system/distribution/core_session.h"
+#include "system/distribution/held_state.h"
+#include "system/simulation/member.h"
 
 #include <optional>
 #include <set>
--- a/src/storage/record_ring.cpp
+++ b/src/system/storage/record_ring.cpp
@@ -1,4 +1,4 @@
-#include "storage/record_ring.h"
+#include "system/storage/record_ring.h"
 
 #include <boost/crc.hpp>
 #include <fcntl.h>
--- a/src/storage/record_ring.h
+++ b/src/system/storage/record_ring.h
@@ -5,7 +5,7 @@
 // Knows nothing of what the records mean. One thread; `open` and `write` wait for the disk.
 #pragma once
 
-#include "errors/error.h"
+#include "system/errors/error.h"
 
 #include <cstddef>
 #include <cstdint>
--- a/src/stream/event_splitter.cpp
+++ b/src/system/stream/event_splitter.cpp
@@ -1,4 +1,4 @@
-#include "stream/event_splitter.h"
+#include "system/stream/event_splitter.h"
 
 #include <algorithm>
 
--- a/src/transport/frame.h
+++ b/src/system/transport/frame.h
@@ -2,7 +2,7 @@
 // long, with its length before it. Pure.
 #pragma once
 
-#include "compression/compression.h"
+#include "system/compression/compression.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/transport/frame_connection.cpp
+++ b/src/system/transport/frame_connection.cpp
@@ -1,6 +1,6 @@
-#include "transport/frame_connection.h"
+#include "system/transport/frame_connection.h"
 
-#include "transport/socket_options.h"
+#include "system/transport/socket_options.h"
 
 #include <fmt/format.h>
 
--- a/src/transport/frame_connection.h
+++ b/src/system/transport/frame_connection.h
@@ -3,8 +3,8 @@
 // callbacks come from the loop, never from inside a call.
 #pragma once
 
-#include "transport/asio.h"
-#include "transport/frame.h"
+#include "system/transport/asio.h"
+#include "system/transport/frame.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/transport/process.h
+++ b/src/system/transport/process.h
@@ -1,7 +1,7 @@
 // What the processes of the system have in common: their clock, and how a signal reaches them.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 #include <csignal>
--- a/src/transport/socket_options.cpp
+++ b/src/system/transport/socket_options.cpp
@@ -1,4 +1,4 @@
-#include "transport/socket_options.h"
+#include "system/transport/socket_options.h"
 
 #include <netinet/tcp.h>
 #include <sys/socket.h>
--- a/src/transport/socket_options.h
+++ b/src/system/transport/socket_options.h
@@ -1,7 +1,7 @@
 // Options of TCP sockets that go beyond Asio's portable ones.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <chrono>
 
--- a/tests/lab/start_test.cpp
+++ b/tests/lab/start_test.cpp
@@ -2,7 +2,7 @@
 #include "lab/folder.h"
 #include "lab/process.h"
 #include "lab/server.h"
-#include "sockets.h"
+#include "support/sockets.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/admin_test.cpp
+++ b/tests/scheduler/admin/admin_test.cpp
@@ -1,7 +1,7 @@
 // The operators' address: its calls on loopback, and how the figures are written.
-#include "admin/server.h"
-#include "net/http.h"
-#include "sockets.h"
+#include "scheduler/admin/server.h"
+#include "scheduler/net/http.h"
+#include "support/sockets.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/state/store_test.cpp
+++ b/tests/scheduler/atomic_file/store_test.cpp
@@ -1,5 +1,5 @@
 #include "lab/folder.h"
-#include "state/store.h"
+#include "scheduler/atomic_file/store.h"
 
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
 #include <memory>
 #include <utility>
 
-namespace willowrill::state {
+namespace willowrill::atomic_file {
 namespace {
 
 Bytes bytes(const std::string& text) { return {text.begin(), text.end()}; }
@@ -209,4 +209,4 @@
 }
 
 } // namespace
-} // namespace willowrill::state
+} // namespace willowrill::atomic_file
--- a/tests/host_test.cpp
+++ b/tests/scheduler/core/host_test.cpp
@@ -1,6 +1,6 @@
 // The life of a message under random steps: whatever clients, workers, discovery and the clock do, each
 // message has one final answer, and the rules on repeats and refusals hold at the host's edge.
-#include "core/host.h"
+#include "scheduler/core/host.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet.h"
+#include "counts/fleet.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/counts/fleet.h
+++ b/tests/scheduler/counts/fleet.h
@@ -2,7 +2,7 @@
 // lost.
 #pragma once
 
-#include "counts/book.h"
+#include "scheduler/counts/book.h"
 
 #include <functional>
 #include <map>
--- a/tests/counts/property_test.cpp
+++ b/tests/scheduler/counts/property_test.cpp
@@ -1,7 +1,7 @@
 // What must hold of books under any schedule of counts, exchanges that lose parts, folds, restarts and
 // returns.
-#include "../rapid.h"
-#include "fleet.h"
+#include "counts/fleet.h"
+#include "support/rapid.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/decisions_test.cpp
+++ b/tests/scheduler/dispatcher/decisions_test.cpp
@@ -1,5 +1,5 @@
 // Beliefs of the module that had gone wrong on rough days, each held against what a fleet can show it.
-#include "learn/learn.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -315,15 +315,17 @@
     std::set<std::size_t> places;
     for (std::size_t kind = 0; kind < 30; ++kind)
         for (std::size_t zone = 0; zone < 30; ++zone)
-            CHECK(places.insert(learn::group_of(kind, zone)).second);
+            CHECK(places.insert(load_estimates::group_of(kind, zone)).second);
     CHECK(*places.rbegin() < 60 * 60); // tables are as long as that
 }
 
 // Each job that a client would have waited a day for kept its entry for a day.
 TEST_CASE("what is to be looked at is no more than twice what lives, and comes in order") {
-    learn::Agenda agenda;
+    load_estimates::Agenda agenda;
     std::set<std::uint64_t> alive;
-    const auto is_void = [&](const learn::Agenda::Entry& entry) { return !alive.contains(entry.serial); };
+    const auto is_void = [&](const load_estimates::Agenda::Entry& entry) {
+        return !alive.contains(entry.serial);
+    };
     for (std::uint64_t serial = 1; serial <= 20000; ++serial) {
         agenda.add({24h + serial * 1ms, serial, 0});
         alive.insert(serial);
--- a/tests/instances_test.cpp
+++ b/tests/scheduler/dispatcher/instances_test.cpp
@@ -1,7 +1,7 @@
 // Several modules in one process: each decides as it would alone, in turn with the others and beside them in
 // threads. The module has no thread and no lock, so this also runs under ThreadSanitizer (`.ci/run`).
-#include "ledger.h"
-#include "rapid.h"
+#include "support/ledger.h"
+#include "support/rapid.h"
 
 #include <string>
 #include <thread>
--- a/tests/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -1,8 +1,8 @@
 // Events that meet in a bad order: the other side ends, or the list changes, just when something waits. Each
 // test makes that order happen with scripted peers, and does not wait for it by the clock.
-#include "frontend/arrival_times.h"
-#include "learn/books.h"
-#include "rig.h"
+#include "scheduler/frontend/arrival_times.h"
+#include "scheduler/load_estimates/books.h"
+#include "support/rig.h"
 
 #include <doctest/doctest.h>
 
@@ -193,7 +193,7 @@
 
 // After a long outage the next call came up to 7.5 s after the last, where 6 s count as told.
 TEST_CASE("asking for the list again after an outage: bounded for one, and not all at one moment") {
-    learn::Subscription list;
+    load_estimates::Subscription list;
     net::Time now = 1s;
     for (int failures = 0; failures < 20; ++failures) {
         CAPTURE(failures);
@@ -201,18 +201,18 @@
         list.told(true, false);
         CHECK_FALSE(list.due(now, 10s, 1s, [] { return 0.0; }));
         REQUIRE(list.next());
-        CHECK(*list.next() - now <= learn::longest_back_off);
+        CHECK(*list.next() - now <= load_estimates::longest_back_off);
         now = *list.next();
     }
-    CHECK(learn::back_off_after(20, 0) == learn::longest_back_off);
-    CHECK(learn::back_off_after(20, 1) == learn::longest_back_off / 2);
+    CHECK(load_estimates::back_off_after(20, 0) == load_estimates::longest_back_off);
+    CHECK(load_estimates::back_off_after(20, 1) == load_estimates::longest_back_off / 2);
 }
 
 // Its first call came up to 1.25 s after its start, where the changes since its former life count from there
 // on.
 TEST_CASE("a new life with a remembered list asks for it early in the grace for drains") {
     for (const auto grace : {50ms, 300ms, 1000ms}) {
-        learn::Subscription list;
+        load_estimates::Subscription list;
         const auto last = [] { return 1.0; };
         list.told(false, true); // the list of its former life
         CHECK_FALSE(list.due(1s, 10s, grace, last));
@@ -224,9 +224,9 @@
 TEST_CASE("discovery that turns a call away beside a silent one is given a pause, and told of once") {
     Rig rig;
     const Listener discovery(rig.loop); // for this watch alone
-    inventory::WatchTimes times = inventory::watch_times(10s, 200ms);
+    discovery_client::WatchTimes times = discovery_client::watch_times(10s, 200ms);
     times.hold = times.late = 4ms;
-    inventory::Watch watch(rig.loop, discovery.address, times, 1, rig.list, [](const auto&) {});
+    discovery_client::Watch watch(rig.loop, discovery.address, times, 1, rig.list, [](const auto&) {});
     watch.watch(true);
     for (std::size_t call = 1; call <= 2; ++call) { // call 0 is the silent one
         REQUIRE(rig.settle(
@@ -234,16 +234,16 @@
         const net::Time refused = rig.loop.now();
         discovery.peers[call]->connection.write(net::http::write_answer(503, {}, ""));
         REQUIRE(rig.settle([&] { return discovery.peers.size() > call + 1; }));
-        CHECK(rig.loop.now() - refused >= learn::first_back_off / 2);
+        CHECK(rig.loop.now() - refused >= load_estimates::first_back_off / 2);
     }
     CHECK(watch.silences() == 1);
 }
 
 TEST_CASE("what discovery has at its return is heard before it counts as told, for all settings") {
-    const auto back_off = learn::longest_back_off;
+    const auto back_off = load_estimates::longest_back_off;
     for (const auto valid : {1s, 2s, 10s, 60s}) {
         for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const inventory::WatchTimes times = inventory::watch_times(valid, grace);
+            const discovery_client::WatchTimes times = discovery_client::watch_times(valid, grace);
             const net::Duration allowed = times.allowed_after_failure(grace);
             const auto tick = std::min<net::Duration>(grace / 10, 10ms);
             CHECK(times.heard_after_failure(back_off, 0s, 2s, tick) <= allowed);
--- a/tests/probing_test.cpp
+++ b/tests/scheduler/dispatcher/probing_test.cpp
@@ -1,7 +1,7 @@
 // Load learnt by probing: what the module asks and makes of the answers, and how connections to workers carry
 // it.
-#include "learn/books.h"
-#include "learn/learn.h"
+#include "scheduler/load_estimates/books.h"
+#include "scheduler/load_estimates/learn.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -48,7 +48,7 @@
     Fleet(Settings settings, WorkerId workers) : dispatcher_(settings), free_(workers, 6.0) {
         ListNews list{ListNews::Kind::complete, {}};
         for (WorkerId id = 0; id < workers; ++id)
-            list.entries.push_back({.worker = id, .key = learn::mixed(id + 1), .zone = id % 5});
+            list.entries.push_back({.worker = id, .key = load_estimates::mixed(id + 1), .zone = id % 5});
         step({list});
     }
     void step(std::vector<Event> events = {}) {
@@ -341,12 +341,12 @@
 // until the next one: a worker with nothing of ours counted as full.
 TEST_CASE(
     "what was sent at the moment of a report is taken off X at its end, and what was sent before off L") {
-    learn::Worker worker;
+    load_estimates::Worker worker;
     worker.sent(1, 0.25);
-    const learn::Attempt before{.worker = 0, .sent = 1s, .step = 0.25};
+    const load_estimates::Attempt before{.worker = 0, .sent = 1s, .step = 0.25};
     worker.report(0.5, 2s);
     worker.sent(1, 0.25);
-    const learn::Attempt with{.worker = 0, .sent = 2s, .step = 0.25};
+    const load_estimates::Attempt with{.worker = 0, .sent = 2s, .step = 0.25};
     worker.ended(1);
     worker.ended_untold(with, 1, 0.25);
     CHECK(worker.sent_slots == 0);
--- a/tests/property_test.cpp
+++ b/tests/scheduler/dispatcher/property_test.cpp
@@ -1,9 +1,9 @@
 // The rules as properties of the module and its host, under whatever clients, workers, discovery and the
 // clock do: 1, 3 and 100 schedulers beside the same workers, all held against the ledger, which knows no
 // module.
-#include "core/host.h"
-#include "ledger.h"
-#include "rapid.h"
+#include "scheduler/core/host.h"
+#include "support/ledger.h"
+#include "support/rapid.h"
 
 #include <algorithm>
 #include <array>
--- a/tests/random_test.cpp
+++ b/tests/scheduler/dispatcher/random_test.cpp
@@ -1,6 +1,6 @@
 // Seeded random events for one dispatcher, held against the ledger of the rules.
-#include "bench.h"
-#include "ledger.h"
+#include "support/bench.h"
+#include "support/ledger.h"
 
 #include <algorithm>
 #include <map>
--- a/tests/rules_test.cpp
+++ b/tests/scheduler/dispatcher/rules_test.cpp
@@ -1,5 +1,5 @@
 // Each test is named for the failure it guards against.
-#include "bench.h"
+#include "support/bench.h"
 
 #include <algorithm>
 #include <set>
--- a/tests/scale_test.cpp
+++ b/tests/scheduler/dispatcher/scale_test.cpp
@@ -1,7 +1,7 @@
 // What only many dispatchers show: instances of the real module side by side in virtual time, with workers
 // that are slots, queues and late reports, and nothing else. Seeds are fixed.
-#include "learn/learn.h"
-#include "ledger.h"
+#include "scheduler/load_estimates/learn.h"
+#include "support/ledger.h"
 
 #include <willowrill/dispatcher.h>
 
@@ -109,10 +109,10 @@
         std::vector<Time> arrived;
     };
 
-    double random() { return learn::unit(random_()); }
+    double random() { return load_estimates::unit(random_()); }
 
     void arrive(Index of_class, double per_s) {
-        for (double due = per_s * learn::seconds(tick); random() < due; due -= 1) {
+        for (double due = per_s * load_estimates::seconds(tick); random() < due; due -= 1) {
             Node& node = nodes_[static_cast<std::size_t>(random() * static_cast<double>(nodes_.size()))];
             const JobArrived job{.job = static_cast<JobId>(node.jobs.size()),
                                  .job_class = of_class,
@@ -152,7 +152,7 @@
             ++unreachable;
             return end(self, send.job, attempt, send.worker, Outcome::connect_failed, now, {});
         }
-        w.taken.emplace_back(now, learn::seconds(work));
+        w.taken.emplace_back(now, load_estimates::seconds(work));
         if (random() < w.errs)
             return end(self, send.job, attempt, send.worker, Outcome::error, now, idle_report());
         w.queue.push_back({self, send.job, attempt, now, work});
@@ -162,7 +162,7 @@
 
     double speed(const Worker& w) const {
         if (w.entry.up_since <= 0s) return 1;
-        const double age = learn::seconds(now - w.entry.up_since) / 9;
+        const double age = load_estimates::seconds(now - w.entry.up_since) / 9;
         return age >= 1 ? 1 : 0.4 + 0.6 * std::max(0.0, age);
     }
 
@@ -214,7 +214,7 @@
     std::vector<WorkerEntry> out;
     for (WorkerId id = first; id < first + count; ++id) {
         out.push_back({.worker = id,
-                       .key = learn::mixed(id + 1),
+                       .key = load_estimates::mixed(id + 1),
                        .up_since = up_since,
                        .kind = id % 2,
                        .zone = id / 2 % 2,
@@ -239,7 +239,7 @@
     std::array<int, 5> fell{};
     int most = 0, least = 5;
     for (int i = 0; i < points; ++i) {
-        learn::Shares shares;
+        load_estimates::Shares shares;
         int here = 0;
         for (std::size_t taker = 0; taker < fell.size(); ++taker) { // due 0.1 of work each, of 1 that comes
             if (!shares.falls_to_next(0.1, 1e9, 1, (i + 0.5) / points)) continue;
@@ -252,7 +252,7 @@
     for (const int one : fell)
         CHECK(one == doctest::Approx(points / 10).epsilon(0.01));
     for (int i = 0; i < points; ++i) {
-        learn::Shares shares;
+        load_estimates::Shares shares;
         int here = 0;
         for (int taker = 0; taker < 5; ++taker)
             here += shares.falls_to_next(0.5, 1e9, 1, (i + 0.5) / points) ? 1 : 0;
@@ -261,7 +261,7 @@
     }
     CHECK(least == 2); // 2.5 times the whole
     CHECK(most == 3);
-    learn::Shares shares; // closed for half of the time: twice as open else
+    load_estimates::Shares shares; // closed for half of the time: twice as open else
     CHECK(shares.falls_to_next(0.1, 0.2, 1, 0.19));
 }
 
@@ -281,7 +281,7 @@
         CHECK(work_in(world, 12, 5s, 14s) > 0.08 * 33 * 9);
         for (Time from = 5s; from < 14s; from += 250ms) {
             const double capacity =
-                12 * slots * (0.4 + 0.6 * learn::seconds(from - 5s) / 9); // of all of them
+                12 * slots * (0.4 + 0.6 * load_estimates::seconds(from - 5s) / 9); // of all of them
             CHECK(work_in(world, 12, from, from + 1s) < 2.5 * capacity);
         }
     }
@@ -294,7 +294,7 @@
         std::vector<WorkerEntry> list = fleet_of(6);
         World world(n, list);
         world.run_until(5s, 60, 4);
-        list.push_back({.worker = 6, .key = learn::mixed(7), .up_since = 5s, .kind = 0, .cell = 1});
+        list.push_back({.worker = 6, .key = load_estimates::mixed(7), .up_since = 5s, .kind = 0, .cell = 1});
         world.workers.push_back({.entry = list.back()});
         world.tell(ListNews::Kind::changes, {list.back()});
         for (Time at = 5s; at < 11s; at += 300ms) {
@@ -303,7 +303,7 @@
             world.run_until(at + 300ms, 90, 4);
         }
         for (Time from = 5s; from < 10s; from += 50ms) {
-            const double capacity = slots * (0.4 + 0.6 * learn::seconds(from - 5s) / 9);
+            const double capacity = slots * (0.4 + 0.6 * load_estimates::seconds(from - 5s) / 9);
             const double budget = 2.5 * capacity / 0.25; // jobs of mean work
             const auto got = std::ranges::count_if(world.workers[6].taken, [&](const auto& one) {
                 return one.first >= from && one.first < from + 1s;
--- a/tests/mesh/frame_test.cpp
+++ b/tests/scheduler/gossip/frame_test.cpp
@@ -1,11 +1,11 @@
-#include "mesh/frame.h"
-#include "mesh/seal.h"
+#include "scheduler/gossip/frame.h"
+#include "scheduler/gossip/seal.h"
 
 #include <doctest/doctest.h>
 
 #include <limits>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using namespace std::chrono_literals;
@@ -21,13 +21,13 @@
 }
 
 TEST_CASE("membership, digests, wants and deltas come back as they went") {
-    const auto message = there_and_back(members::Message{
-        members::Kind::ping_request, 5, 6, {1, 2}, {{{"a", 3}, {4, 5}, members::State::suspect, 6}}});
-    CHECK(message.kind == members::Kind::ping_request);
-    CHECK(message.subject == members::Address{1, 2});
+    const auto message = there_and_back(
+        swim::Message{swim::Kind::ping_request, 5, 6, {1, 2}, {{{"a", 3}, {4, 5}, swim::State::suspect, 6}}});
+    CHECK(message.kind == swim::Kind::ping_request);
+    CHECK(message.subject == swim::Address{1, 2});
     REQUIRE(message.news.size() == 1);
     CHECK(message.news[0].id.name == "a");
-    CHECK(message.news[0].state == members::State::suspect);
+    CHECK(message.news[0].state == swim::State::suspect);
     CHECK(message.news[0].incarnation == 6);
 
     const auto digest = there_and_back(counts::Digest{
@@ -188,4 +188,4 @@
 }
 
 } // namespace
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/tests/mesh/mesh_test.cpp
+++ b/tests/scheduler/gossip/mesh_test.cpp
@@ -1,5 +1,5 @@
 // The carrier on loopback: what it drops, by cause; and what it does with its address and its file.
-#include "mesh/mesh.h"
+#include "scheduler/gossip/mesh.h"
 
 #include <doctest/doctest.h>
 #include <sys/socket.h>
@@ -11,7 +11,7 @@
 #include <optional>
 #include <utility>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using namespace std::chrono_literals;
@@ -43,8 +43,8 @@
         site.counts->most_lives = 10;
     }
     ~Rig() { std::filesystem::remove_all(folder); }
-    static site::Secret secret(unsigned char fill) {
-        site::Secret out{};
+    static operator_config::Secret secret(unsigned char fill) {
+        operator_config::Secret out{};
         out.fill(fill);
         return out;
     }
@@ -53,9 +53,9 @@
     }
     // A word that would make a member known, were it taken.
     Frame frame(std::uint64_t count, net::Duration sent_ahead = 0s) const {
-        const members::Address address{0x7f000001, 9};
+        const swim::Address address{0x7f000001, 9};
         return {77, count, loop.now() + sent_ahead,
-                members::Message{.kind = members::Kind::sync, .news = {{{"other", 77}, address}}}};
+                swim::Message{.kind = swim::Kind::sync, .news = {{{"other", 77}, address}}}};
     }
     void send(Mesh& mesh, const Bytes& datagram) {
         const net::Endpoint to = mesh.address();
@@ -73,7 +73,7 @@
     net::Loop loop;
     net::Fd out;
     net::Endpoint own;
-    site::Site site;
+    operator_config::Site site;
     std::string folder;
 };
 
@@ -203,4 +203,4 @@
 }
 
 } // namespace
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/tests/mesh/node_test.cpp
+++ b/tests/scheduler/gossip/node_test.cpp
@@ -5,7 +5,7 @@
 
 #include <cmath>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 using namespace std::chrono_literals;
@@ -284,4 +284,4 @@
 }
 
 } // namespace
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/tests/mesh/recorded_formats_test.cpp
+++ b/tests/scheduler/gossip/recorded_formats_test.cpp
@@ -1,7 +1,7 @@
 // Datagrams and the file of counts as an earlier version wrote them (tests/data): they are read, and what is
 // made of them again is the same bytes.
-#include "mesh/frame.h"
-#include "mesh/snapshots.h"
+#include "scheduler/gossip/frame.h"
+#include "scheduler/gossip/snapshots.h"
 
 #include "lab/folder.h"
 
@@ -11,7 +11,7 @@
 #include <fstream>
 #include <iterator>
 
-namespace willowrill::mesh {
+namespace willowrill::gossip {
 namespace {
 
 namespace fs = std::filesystem;
@@ -63,4 +63,4 @@
 }
 
 } // namespace
-} // namespace willowrill::mesh
+} // namespace willowrill::gossip
--- a/tests/upgrade_test.cpp
+++ b/tests/scheduler/hot_restart/upgrade_test.cpp
@@ -1,7 +1,7 @@
 // Two runs of one scheduler side by side: what is handed over, and what happens when either dies or hangs.
 #include "lab/folder.h"
-#include "sockets.h"
-#include "upgrade/succession.h"
+#include "scheduler/hot_restart/succession.h"
+#include "support/sockets.h"
 
 #include <doctest/doctest.h>
 
@@ -15,10 +15,10 @@
 namespace willowrill::testing {
 namespace {
 
-using lab::Folder, upgrade::Succession;
+using lab::Folder, hot_restart::Succession;
 
 struct FakeRun final : Succession::Run {
-    FakeRun(net::Loop& loop, const std::string& door, std::optional<upgrade::Inheritance> from)
+    FakeRun(net::Loop& loop, const std::string& door, std::optional<hot_restart::Inheritance> from)
         : fd(from ? std::move(from->listener) : net::listen_on(*net::Endpoint::parse("127.0.0.1:0"), true)),
           succession(loop, door, std::move(from), *this) {}
     const net::Fd& listener() const override { return fd; }
@@ -35,9 +35,9 @@
     Succession succession;
 };
 
-std::optional<upgrade::Inheritance> ask(net::Loop& loop, const std::string& door,
-                                        const net::Endpoint& address) {
-    auto answer = std::async(std::launch::async, [&] { return upgrade::inherit(door, address, 10s); });
+std::optional<hot_restart::Inheritance> ask(net::Loop& loop, const std::string& door,
+                                            const net::Endpoint& address) {
+    auto answer = std::async(std::launch::async, [&] { return hot_restart::inherit(door, address, 10s); });
     CHECK(settle(loop, [&] { return answer.wait_for(0s) == std::future_status::ready; }));
     return answer.get();
 }
@@ -52,7 +52,7 @@
     net::Loop loop;
     auto old_run = std::make_unique<FakeRun>(loop, door, std::nullopt);
     const net::Endpoint address = net::local_address(old_run->fd);
-    CHECK_FALSE(upgrade::inherit(door, address, 10s)); // nobody waits behind a stale file
+    CHECK_FALSE(hot_restart::inherit(door, address, 10s)); // nobody waits behind a stale file
     old_run->succession.serve();
     old_run->open = {"a"};
     struct stat file {};
@@ -138,11 +138,11 @@
     net::Loop loop;
     FakeRun old_run(loop, door, std::nullopt);
     old_run.succession.serve();
-    CHECK_FALSE(upgrade::inherit(door, net::local_address(old_run.fd), 1ms)); // its loop stands still
+    CHECK_FALSE(hot_restart::inherit(door, net::local_address(old_run.fd), 1ms)); // its loop stands still
     CHECK_FALSE(ask(loop, door, *net::Endpoint::parse("127.0.0.1:1")));
     CHECK(net::listen_on(net::local_address(old_run.fd), true).valid()); // the way that is left
-    CHECK_FALSE(upgrade::door_path(std::string(200, 'a').c_str(), {}));
-    CHECK_FALSE(upgrade::door_path(nullptr, {}));
+    CHECK_FALSE(hot_restart::door_path(std::string(200, 'a').c_str(), {}));
+    CHECK_FALSE(hot_restart::door_path(nullptr, {}));
 }
 
 } // namespace willowrill::testing
--- a/tests/connection_test.cpp
+++ b/tests/scheduler/net/connection_test.cpp
@@ -1,7 +1,7 @@
 // A model of a connection's states, against which random steps are checked: what has been read, written and
 // told at any time, whatever the other side does.
-#include "net/signals.h"
-#include "sockets.h"
+#include "scheduler/net/signals.h"
+#include "support/sockets.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/site/site_test.cpp
+++ b/tests/scheduler/operator_config/site_test.cpp
@@ -1,5 +1,5 @@
-#include "site/section.h"
-#include "site/site.h"
+#include "scheduler/operator_config/section.h"
+#include "scheduler/operator_config/site.h"
 
 #include <doctest/doctest.h>
 #include <sys/stat.h>
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <string>
 
-namespace willowrill::site {
+namespace willowrill::operator_config {
 namespace {
 
 using namespace std::chrono_literals;
@@ -219,4 +219,4 @@
 }
 
 } // namespace
-} // namespace willowrill::site
+} // namespace willowrill::operator_config
--- a/tests/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -1,9 +1,9 @@
 // The parts that read texts: configuration, discovery's lists, workers' answers, clients' requests.
-#include "config/settings.h"
-#include "frontend/request.h"
-#include "inventory/list.h"
-#include "rapid.h"
-#include "upstream/answer.h"
+#include "scheduler/config/settings.h"
+#include "scheduler/discovery_client/list.h"
+#include "scheduler/frontend/request.h"
+#include "scheduler/upstream/answer.h"
+#include "support/rapid.h"
 
 #include <doctest/doctest.h>
 
@@ -263,7 +263,7 @@
 }
 
 TEST_CASE("discovery's lists: whole ones replace, changes apply, nonsense changes nothing") {
-    inventory::List list(test_settings().names);
+    discovery_client::List list(test_settings().names);
     const auto entry = [](std::string id, std::string state, std::string port = "5000") {
         return R"({"id":")" + id + R"(","addr":"127.0.0.1:)" + port +
                R"(","zone":"a","kind":"m2","cell":3,"state":")" + state +
--- a/tests/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -1,5 +1,5 @@
 // The parts put together on loopback, with clients, a worker and discovery played by the tests.
-#include "rig.h"
+#include "support/rig.h"
 
 #include <doctest/doctest.h>
 
@@ -20,11 +20,11 @@
     Rig rig;
     const net::Endpoint nobody = Listener(rig.loop).address;
     int broken = 0;
-    inventory::Watch watch(rig.loop, nobody, inventory::watch_times(10s, 1s), 1, rig.list,
-                           [&](const auto& news) {
-                               CHECK(news.kind == willowrill::ListNews::Kind::broken);
-                               ++broken;
-                           });
+    discovery_client::Watch watch(rig.loop, nobody, discovery_client::watch_times(10s, 1s), 1, rig.list,
+                                  [&](const auto& news) {
+                                      CHECK(news.kind == willowrill::ListNews::Kind::broken);
+                                      ++broken;
+                                  });
     watch.watch(true);
     CHECK(rig.settle([&] { return broken > 0; }));
     CHECK(broken == 1);
@@ -37,10 +37,10 @@
     "discovery that has fallen silent is asked beside the call that is out, and the first answer counts") {
     Rig rig;
     int news_of_drain = 0, broken = 0;
-    inventory::WatchTimes times = inventory::watch_times(10s, 1s);
+    discovery_client::WatchTimes times = discovery_client::watch_times(10s, 1s);
     times.hold = 4ms;
     times.late = 10ms;
-    inventory::Watch watch(rig.loop, rig.discovery.address, times, 1, rig.list, [&](const auto& news) {
+    discovery_client::Watch watch(rig.loop, rig.discovery.address, times, 1, rig.list, [&](const auto& news) {
         broken += news.kind == willowrill::ListNews::Kind::broken ? 1 : 0;
         for (const auto& entry : news.entries)
             news_of_drain += entry.condition == willowrill::Condition::draining ? 1 : 0;
@@ -68,7 +68,7 @@
 TEST_CASE("what discovery may be silent for adds up to less than what counts as told, for all settings") {
     for (const auto valid : {0s, 1s, 2s, 10s, 60s}) {
         for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const inventory::WatchTimes times = inventory::watch_times(valid, grace);
+            const discovery_client::WatchTimes times = discovery_client::watch_times(valid, grace);
             CHECK(times.hold > 0ns);
             CHECK(times.reopen <= grace);
             // Two calls, the first of them lost as well, each with a second for its answer.
--- a/tests/wire_test.cpp
+++ b/tests/scheduler/simulator_adapter/wire_test.cpp
@@ -1,10 +1,10 @@
-#include "wire.h"
+#include "scheduler/simulator_adapter/wire.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-namespace willowrill::simhost {
+namespace willowrill::simulator_adapter {
 namespace {
 
 const std::string settings =
@@ -162,4 +162,4 @@
 }
 
 } // namespace
-} // namespace willowrill::simhost
+} // namespace willowrill::simulator_adapter
--- a/tests/rig.h
+++ b/tests/scheduler/support/rig.h
@@ -1,10 +1,10 @@
 // The parts of the scheduler put together on loopback, for tests that play clients, workers and discovery.
 #pragma once
 
-#include "frontend/front.h"
-#include "inventory/watch.h"
-#include "sockets.h"
-#include "upstream/pool.h"
+#include "scheduler/discovery_client/watch.h"
+#include "scheduler/frontend/front.h"
+#include "scheduler/upstream/pool.h"
+#include "support/sockets.h"
 
 #include <sys/socket.h>
 
@@ -22,7 +22,7 @@
         : settings(std::move(given)), list(settings.names),
           pool(loop, list, settings.report_fields,
                {.connections = most_attempts, .idle = 5s, .connect_timeout = settings.connect_timeout}),
-          watch(loop, discovery.address, inventory::watch_times(10s, 1s), 1, list,
+          watch(loop, discovery.address, discovery_client::watch_times(10s, 1s), 1, list,
                 [this](auto news) { host.list_news(std::move(news)); }),
           host(settings.decisions, settings.max_open, 1U << 20U, pool, watch),
           front(loop, settings, host, most_clients, [] { return true; }) {
@@ -66,9 +66,9 @@
     const config::Settings settings;
     net::Loop loop;
     Listener worker{loop}, discovery{loop};
-    inventory::List list;
+    discovery_client::List list;
     upstream::Pool pool;
-    inventory::Watch watch;
+    discovery_client::Watch watch;
     core::Host host;
     frontend::Front front;
 };
--- a/tests/sockets.h
+++ b/tests/scheduler/support/sockets.h
@@ -1,9 +1,9 @@
 // Small helpers for tests on real sockets: loopback, ports that the system picks, no waiting by the clock.
 #pragma once
 
-#include "net/connection.h"
-#include "net/loop.h"
-#include "net/socket.h"
+#include "scheduler/net/connection.h"
+#include "scheduler/net/loop.h"
+#include "scheduler/net/socket.h"
 
 #include <deque>
 #include <memory>
--- a/tests/members/members_test.cpp
+++ b/tests/scheduler/swim/members_test.cpp
@@ -3,7 +3,7 @@
 
 #include <doctest/doctest.h>
 
-namespace willowrill::members {
+namespace willowrill::swim {
 namespace {
 
 using namespace std::chrono_literals;
@@ -175,4 +175,4 @@
 }
 
 } // namespace
-} // namespace willowrill::members
+} // namespace willowrill::swim
--- a/tests/system/budget_test.cpp
+++ b/tests/system/budget/budget_test.cpp
@@ -1,8 +1,8 @@
 // Budgets over many schedulers, counted by a plain model of the rule in every window.
-#include "budget/cold_budget.h"
-#include "budget/retry_budget.h"
+#include "system/budget/cold_budget.h"
+#include "system/budget/retry_budget.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/configuration_test.cpp
+++ b/tests/system/configuration/configuration_test.cpp
@@ -1,7 +1,7 @@
 // Configurations: what is refused and why, which route a request takes, and orders against a plain model.
-#include "configuration/control_state.h"
+#include "system/configuration/control_state.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/tests/system/patch_test.cpp
+++ b/tests/system/configuration/patch_test.cpp
@@ -1,8 +1,8 @@
 // Orders that alter named items: each case of the answer, and long runs compared with a plain model.
-#include "configuration/control_state.h"
-#include "configuration/patch.h"
+#include "system/configuration/control_state.h"
+#include "system/configuration/patch.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/tests/system/exchange_test.cpp
+++ b/tests/system/data/exchange_test.cpp
@@ -1,11 +1,11 @@
 // A request's exchange with workers, the real one over loopback, against scripted workers: every pair of what
 // was sent so far and what came back, for each class of route, on new and on kept connections. A plain model
 // says what is allowed: whether a second worker may be asked, and what the client may be told.
-#include "data/answer_head.h"
-#include "data/exchange.h"
-#include "scripted_worker.h"
+#include "data/scripted_worker.h"
+#include "system/data/answer_head.h"
+#include "system/data/exchange.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/tests/system/scripted_worker.h
+++ b/tests/system/data/scripted_worker.h
@@ -2,7 +2,7 @@
 // script says, and then answers, closes or resets. Runs on the loop of the test.
 #pragma once
 
-#include "transport/asio.h"
+#include "system/transport/asio.h"
 
 #include <cstddef>
 #include <deque>
--- a/tests/system/session_test.cpp
+++ b/tests/system/distribution/session_test.cpp
@@ -1,10 +1,10 @@
 // The sessions of schedulers with the core: what a member hands out, and when a scheduler goes to another.
-#include "distribution/core_session.h"
-#include "distribution/held_members.h"
-#include "distribution/held_state.h"
-#include "distribution/scheduler_hub.h"
+#include "system/distribution/core_session.h"
+#include "system/distribution/held_members.h"
+#include "system/distribution/held_state.h"
+#include "system/distribution/scheduler_hub.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/tests/system/reading_test.cpp
+++ b/tests/system/load_reports/load_report_delta_test.cpp
@@ -1,7 +1,7 @@
 // Load readings told as changes: what listeners come to know, against the readings themselves.
-#include "distribution/reading_delta.h"
+#include "system/load_reports/load_report_delta.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
@@ -9,8 +9,8 @@
 #include <random>
 
 using namespace willowrill;
-using distribution::ReadingListener;
-using distribution::ReadingTeller;
+using load_reports::ReadingListener;
+using load_reports::ReadingTeller;
 using nlohmann::json;
 using routing::Reading;
 using routing::Time;
@@ -70,7 +70,7 @@
             const Reading& truth = *worker.reading;
             cr_assert(near.at(id).reading.has_value());
             const Reading& known = *near.at(id).reading;
-            cr_assert_not(distribution::differs_enough(known, truth, capacity), "%s at %d", id.c_str(), at);
+            cr_assert_not(load_reports::differs_enough(known, truth, capacity), "%s at %d", id.c_str(), at);
             cr_assert(known.as_of <= truth.as_of || truth.as_of < Time(at) - Time(1000));
             if (at > 20'000) cr_assert_eq(later.at(id).reading->active, known.active);
         }
--- a/tests/system/membership_test.cpp
+++ b/tests/system/membership/membership_test.cpp
@@ -1,13 +1,13 @@
 // Leases, owners under tokens, lists of workers, the directory, and the queue of orders.
-#include "control/directory.h"
-#include "control/lease_gossip.h"
-#include "control/order_queue.h"
-#include "discovery/codec.h"
-#include "membership/codec.h"
-#include "membership/lease_table.h"
-#include "ownership/ownership.h"
-
-#include "expect.h"
+#include "system/control/directory.h"
+#include "system/control/lease_gossip.h"
+#include "system/control/order_queue.h"
+#include "system/discovery/codec.h"
+#include "system/membership/codec.h"
+#include "system/membership/lease_table.h"
+#include "system/ownership/ownership.h"
+
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/replica_driver.h
+++ b/tests/system/replication/replica_driver.h
@@ -1,7 +1,7 @@
 // One replica with a disk that answers at once, or later, or with a refusal, as a test wants it.
 #pragma once
 
-#include "replication/replica.h"
+#include "system/replication/replica.h"
 
 #include <deque>
 #include <optional>
--- a/tests/system/replication_test.cpp
+++ b/tests/system/replication/replication_test.cpp
@@ -1,9 +1,9 @@
 // Replication: single cases by name, and random histories of the simulated core judged by what operators saw.
-#include "replication/replica.h"
-#include "simulation/cluster.h"
+#include "system/replication/replica.h"
+#include "system/simulation/cluster.h"
 
-#include "expect.h"
-#include "replica_driver.h"
+#include "replication/replica_driver.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/routing_test.cpp
+++ b/tests/system/routing/routing_test.cpp
@@ -1,8 +1,8 @@
 // The choice of a worker, against a plain reading of the rule, and homes of readings.
-#include "distribution/homes.h"
-#include "routing/selector.h"
+#include "system/distribution/homes.h"
+#include "system/routing/selector.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 #include <fmt/format.h>
--- a/tests/system/settings_test.cpp
+++ b/tests/system/settings/settings_test.cpp
@@ -1,7 +1,7 @@
 // The platform's settings file.
-#include "settings/settings.h"
+#include "system/settings/settings.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -1,10 +1,10 @@
 // The ring of records: what is read after a tear at any byte, and what is told apart.
-#include "compression/compression.h"
-#include "configuration/control_state.h"
-#include "control/disk.h"
-#include "storage/record_ring.h"
+#include "system/compression/compression.h"
+#include "system/configuration/control_state.h"
+#include "system/control/disk.h"
+#include "system/storage/record_ring.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/stream_test.cpp
+++ b/tests/system/stream/stream_test.cpp
@@ -1,7 +1,7 @@
 // Streams of events, cut at every byte, against a plain reading of the whole.
-#include "stream/event_splitter.h"
+#include "system/stream/event_splitter.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/transport_test.cpp
+++ b/tests/system/transport/transport_test.cpp
@@ -1,10 +1,10 @@
 // Connections between processes over real sockets on loopback: frames and their bounds.
-#include "http/client.h"
-#include "http/server.h"
-#include "transport/frame_connection.h"
-#include "transport/socket_options.h"
+#include "system/http/client.h"
+#include "system/http/server.h"
+#include "system/transport/frame_connection.h"
+#include "system/transport/socket_options.h"
 
-#include "expect.h"
+#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
