--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -1,11 +1,12 @@
 #include "system/control/control_plane.h"
 
+#include "common/identity/random_identity.h"
+
 #include "system/control/directory.h"
 #include "system/replication/codec.h"
 
 #include <fmt/format.h>
 
-#include <random>
 #include <utility>
 
 namespace willowrill::control {
@@ -39,11 +40,6 @@
     return {};
 }
 
-std::uint64_t draw_life() {
-    std::random_device device;
-    return (std::uint64_t{device()} << 32U) ^ device();
-}
-
 std::set<std::string> zones_of(const settings::Settings& settings) {
     std::set<std::string> out;
     for (const auto& [zone, region] : settings.regions)
@@ -67,7 +63,7 @@
              [this] { assign_lists(); }}), // schedulers that start wait for the list
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
       hub_(hub_callbacks()),
-      leases_(draw_life(),
+      leases_(identity::random_identity(),
               {[this](const json& message) { mesh_.broadcast(message); },
                [this](const MemberId& to, const json& message) { mesh_.send(to, message); },
                [this](const std::vector<membership::Lease>& leases) { hub_.publish_members(leases); }}),
@@ -111,7 +107,7 @@
 
 CoreMesh::Callbacks ControlPlane::mesh_callbacks() {
     return {[this](const MemberId& member) { on_peer_connected(member); },
-            [this](const MemberId& member) { node_.feed(replication::PeerLost{member}); },
+            [this](const MemberId& member) { node_.feed(replication::PeerDisconnected{member}); },
             [this](const MemberId& member) {
                 const auto place = places_.find(member);
                 const bool known = place != places_.end();
@@ -219,7 +215,7 @@
 void ControlPlane::leave() {
     if (left_at_) return;
     left_at_ = Clock::now();
-    node_.feed(replication::Leave{});
+    node_.feed(replication::BeginShutdown{});
 }
 
 void ControlPlane::end_if_possible() {
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -1,19 +1,15 @@
 #include "system/control/core_node.h"
 
+#include "common/identity/random_identity.h"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
-#include <random>
 #include <utility>
 
 namespace willowrill::control {
 namespace {
 
-std::uint64_t draw_seed(const std::string& name) {
-    std::random_device device;
-    return (std::uint64_t{device()} << 32U) ^ device() ^ std::hash<std::string>()(name);
-}
-
 replication::Options options_of(const settings::Settings& settings) {
     replication::Options out;
     out.self = settings::to_text(settings.control);
@@ -21,7 +17,7 @@
     for (const settings::Endpoint& seed : settings.seeds)
         out.seeds.push_back(settings::to_text(seed));
     out.tolerated = settings.tolerated_members;
-    out.random_seed = draw_seed(settings.node_name);
+    out.random_seed = identity::random_identity() ^ std::hash<std::string>()(settings.node_name);
     return out;
 }
 
@@ -53,8 +49,10 @@
         return callbacks_.send(send->to, send->message);
     if (const auto* save = std::get_if<replication::Save>(&action)) return disk_.save(*save);
     if (const auto* committed = std::get_if<replication::Committed>(&action)) return orders_.on(*committed);
-    if (const auto* undecided = std::get_if<replication::Undecided>(&action)) return orders_.on(*undecided);
-    if (const auto* confirmed = std::get_if<replication::Confirmed>(&action)) return orders_.on(*confirmed);
+    if (const auto* undecided = std::get_if<replication::OutcomeUnknown>(&action))
+        return orders_.on(*undecided);
+    if (const auto* confirmed = std::get_if<replication::LeadershipConfirmed>(&action))
+        return orders_.on(*confirmed);
     on_state_changed();
 }
 
--- a/src/system/control/list_owners.cpp
+++ b/src/system/control/list_owners.cpp
@@ -40,14 +40,14 @@
 void ListOwners::on_message(const std::string& type, const json& message) {
     if (type == "assign") return take_assignments(message);
     if (type == "zone") return take_list(message.at("list").get<discovery::ZoneList>());
-    const auto token = message.at("token").get<discovery::Token>();
+    const auto token = message.at("token").get<discovery::FencingToken>();
     if (assigner_) assigner_->seen(message.at("zone").get<std::string>(), token, steady_now());
 }
 
 void ListOwners::take_assignments(const json& message) {
     for (const json& one : message.at("assignments")) {
         const auto zone = one.at("zone").get<std::string>();
-        const auto token = one.at("token").get<discovery::Token>();
+        const auto token = one.at("token").get<discovery::FencingToken>();
         if (one.at("owner") == self_)
             reader_.own(zone, token);
         else
--- a/src/system/control/order_queue.cpp
+++ b/src/system/control/order_queue.cpp
@@ -17,7 +17,7 @@
 void OrderQueue::read(OnReadDone done) {
     const std::uint64_t id = next_id_++;
     reads_[id] = std::move(done);
-    feed_(replication::Confirm{id});
+    feed_(replication::ConfirmLeadership{id});
 }
 
 void OrderQueue::start_next() {
@@ -25,10 +25,10 @@
     Waiting next = std::move(waiting_.front());
     waiting_.pop_front();
     running_ = Running{next_id_++, Phase::confirming, std::move(next.order), std::move(next.done)};
-    feed_(replication::Confirm{running_->id});
+    feed_(replication::ConfirmLeadership{running_->id});
 }
 
-void OrderQueue::on(const replication::Confirmed& confirmed) {
+void OrderQueue::on(const replication::LeadershipConfirmed& confirmed) {
     if (const auto read = reads_.find(confirmed.id); read != reads_.end()) {
         const OnReadDone done = std::move(read->second);
         reads_.erase(read);
@@ -50,7 +50,7 @@
     if (running_ && running_->id == committed.id) finish(BOOST_OUTCOME_V2_NAMESPACE::success());
 }
 
-void OrderQueue::on(const replication::Undecided& undecided) {
+void OrderQueue::on(const replication::OutcomeUnknown& undecided) {
     if (const auto read = reads_.find(undecided.id); read != reads_.end()) {
         const OnReadDone done = std::move(read->second);
         reads_.erase(read);
--- a/src/system/control/order_queue.h
+++ b/src/system/control/order_queue.h
@@ -35,9 +35,9 @@
         state_ = state;
         position_ = position;
     }
-    void on(const replication::Confirmed& confirmed);
+    void on(const replication::LeadershipConfirmed& confirmed);
     void on(const replication::Committed& committed);
-    void on(const replication::Undecided& undecided);
+    void on(const replication::OutcomeUnknown& undecided);
 
   private:
     enum class Phase { confirming, replicating };
--- a/src/system/control/platform_reader.cpp
+++ b/src/system/control/platform_reader.cpp
@@ -18,7 +18,7 @@
                                OnList on_list)
     : loop_(loop), platform_(std::move(platform)), metrics_(metrics), on_list_(std::move(on_list)) {}
 
-void PlatformReader::own(const std::string& zone, discovery::Token token) {
+void PlatformReader::own(const std::string& zone, discovery::FencingToken token) {
     Zone& mine = zones_[zone];
     if (token <= mine.token && mine.client) return;
     mine.token = token;
@@ -27,7 +27,7 @@
         mine.client = std::make_shared<http_client::Client>(loop_, platform_.host, platform_.port);
 }
 
-void PlatformReader::yield(const std::string& zone, discovery::Token token) {
+void PlatformReader::yield(const std::string& zone, discovery::FencingToken token) {
     const auto mine = zones_.find(zone);
     if (mine == zones_.end() || token <= mine->second.token) return;
     mine->second.client->close();
--- a/src/system/control/platform_reader.h
+++ b/src/system/control/platform_reader.h
@@ -22,15 +22,15 @@
                    OnList on_list);
 
     // This member reads the zone from now on, until a newer token names another owner.
-    void own(const std::string& zone, discovery::Token token);
+    void own(const std::string& zone, discovery::FencingToken token);
     // Another owner has a newer token.
-    void yield(const std::string& zone, discovery::Token token);
+    void yield(const std::string& zone, discovery::FencingToken token);
     // Starts the readings that are due.
     void tick(std::chrono::steady_clock::time_point now);
 
   private:
     struct Zone {
-        discovery::Token token;
+        discovery::FencingToken token;
         std::shared_ptr<http_client::Client> client;
         std::chrono::steady_clock::time_point due;
         std::uint64_t serial = 0;
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -1,5 +1,7 @@
 #include "system/data/data_plane.h"
 
+#include "common/identity/random_identity.h"
+
 #include "system/discovery/codec.h"
 #include "system/distribution/held_state.h"
 #include "system/distribution/push_messages.h"
@@ -7,7 +9,6 @@
 
 #include <fmt/format.h>
 
-#include <random>
 #include <utility>
 
 namespace willowrill::data {
@@ -25,17 +26,12 @@
 constexpr std::uint64_t ticks_between_sweeps = 20;
 constexpr routing::Time cold_unknown{1500}; // how late the platform's list may tell that a worker turned cold
 
-std::uint64_t draw() {
-    std::random_device device;
-    return (std::uint64_t{device()} << 32U) ^ device();
-}
-
 } // namespace
 
 DataPlane::DataPlane(asio::io_context& loop, settings::Settings settings, std::string settings_path,
                      std::uint16_t metrics_port)
     : loop_(loop), settings_(std::move(settings)), settings_path_(std::move(settings_path)),
-      context_(loop, settings_, draw()), incarnation_(draw()),
+      context_(loop, settings_, identity::random_identity()), incarnation_(identity::random_identity()),
       core_(loop, settings_,
             {[this] { return lease(); },
              [this] { return context_.in_force ? std::optional(context_.in_force->position) : std::nullopt; },
@@ -74,8 +70,8 @@
     out.incarnation = incarnation_;
     out.zone = settings_.zone;
     out.region = settings_.region;
-    out.front = settings::to_text(settings_.front);
-    out.peer = fmt::format("{}:{}", settings_.address, settings_.first_internal_port + 1);
+    out.client_address = settings::to_text(settings_.front);
+    out.peer_address = fmt::format("{}:{}", settings_.address, settings_.first_internal_port + 1);
     out.phase = phase_;
     return out;
 }
--- a/src/system/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -5,7 +5,7 @@
 #include "system/data/context.h"
 #include "system/data/core_connection.h"
 #include "system/data/front.h"
-#include "system/data/reading_exchange.h"
+#include "system/data/load_report_exchange.h"
 #include "system/discovery/instances.h"
 #include "system/distribution/held_members.h"
 #include "system/http/server.h"
@@ -56,7 +56,7 @@
     Clock::time_point most_since_;
     std::optional<Clock::time_point> workers_known_since_;
     CoreConnection core_;
-    ReadingExchange readings_;
+    LoadReportExchange readings_;
     http_server::Server readiness_;
     metrics::MetricsServer metrics_server_;
     std::optional<Front> front_;
--- a/src/system/data/reading_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -1,4 +1,4 @@
-#include "system/data/reading_exchange.h"
+#include "system/data/load_report_exchange.h"
 
 #include <fmt/format.h>
 
@@ -25,7 +25,7 @@
 constexpr auto dial_timeout = 400ms;
 
 // A worker that answers nonsense is as good as silent.
-bool read_report(const std::string& body, routing::Reading& reading) {
+bool read_report(const std::string& body, routing::LoadReport& reading) {
     try {
         const json report = json::parse(body);
         reading.active = report.at("active").get<std::size_t>();
@@ -42,20 +42,20 @@
 
 } // namespace
 
-ReadingExchange::ReadingExchange(Context& context, const std::string& host, std::uint16_t port)
+LoadReportExchange::LoadReportExchange(Context& context, const std::string& host, std::uint16_t port)
     : context_(context), timer_(context.loop),
       listener_(context.loop, host, port,
                 [this](const transport::FrameConnectionPtr& connection) { accept(connection); }) {
     tick();
 }
 
-bool ReadingExchange::has_readings() const {
+bool LoadReportExchange::has_readings() const {
     if (context_.workers.empty()) return false;
     return std::ranges::any_of(context_.workers,
                                [](const auto& item) { return item.second.reading.has_value(); });
 }
 
-void ReadingExchange::tick() {
+void LoadReportExchange::tick() {
     ++ticks_;
     if (context_.in_force) {
         const bool starting = !has_readings();
@@ -72,7 +72,7 @@
     });
 }
 
-std::set<std::string> ReadingExchange::avoided() {
+std::set<std::string> LoadReportExchange::avoided() {
     const Clock::time_point now = Clock::now();
     std::erase_if(silent_, [&](const auto& item) { return now - item.second > avoid_time; });
     std::set<std::string> out;
@@ -82,7 +82,7 @@
 }
 
 // Follows the home of the zone or, being home, those of the other zones.
-void ReadingExchange::arrange(const std::string& service) {
+void LoadReportExchange::arrange(const std::string& service) {
     const std::string& own_zone = context_.settings.zone;
     const std::set<std::string> shunned = avoided();
     const auto order = distribution::homes(members_, service, own_zone, shunned);
@@ -108,8 +108,8 @@
     }
 }
 
-void ReadingExchange::follow(const std::string& key, const membership::Lease& home,
-                             const std::string& service, Scope scope) {
+void LoadReportExchange::follow(const std::string& key, const membership::Lease& home,
+                                const std::string& service, Scope scope) {
     Source& source = sources_[key];
     const Clock::time_point now = Clock::now();
     if (source.connection && (source.node != home.node || now - source.heard > source_silence)) {
@@ -117,7 +117,7 @@
         std::exchange(source.connection, nullptr)->close();
     }
     if (source.connection || source.dialling) return;
-    const auto endpoint = settings::parse_endpoint(home.peer);
+    const auto endpoint = settings::parse_endpoint(home.peer_address);
     if (!endpoint) return;
     source.dialling = true;
     source.node = home.node;
@@ -158,13 +158,13 @@
     transport::dial(context_.loop, endpoint.value().host, endpoint.value().port, dial_timeout, on_connected);
 }
 
-bool ReadingExchange::probes_here(const routing::Worker& worker) const {
+bool LoadReportExchange::probes_here(const routing::Worker& worker) const {
     if (!home_of_.contains(worker.instance.service)) return false;
     const std::string& region = context_.selector.place().region_of(worker.instance.zone);
     return distribution::probing_zone(members_, worker.instance.zone, region) == context_.settings.zone;
 }
 
-void ReadingExchange::probe_due() {
+void LoadReportExchange::probe_due() {
     const routing::Time now = steady_now();
     std::erase_if(probers_, [&](auto& item) {
         if (context_.workers.contains(item.first)) return false;
@@ -194,11 +194,11 @@
     }
 }
 
-void ReadingExchange::on_report(const std::string& id, const http_client::Response* response) {
+void LoadReportExchange::on_report(const std::string& id, const http_client::Response* response) {
     const auto worker = context_.workers.find(id);
     const auto prober = probers_.find(id);
     if (worker == context_.workers.end() || prober == probers_.end()) return;
-    routing::Reading reading;
+    routing::LoadReport reading;
     reading.as_of = steady_now() - report_lag;
     bool good = false;
     const auto* service = context_.in_force->configuration.find_service(worker->second.instance.service);
@@ -215,7 +215,7 @@
     worker->second.take(reading);
 }
 
-nlohmann::json ReadingExchange::next_message(const Group& group) {
+nlohmann::json LoadReportExchange::next_message(const Group& group) {
     const auto& [service, scope] = group;
     std::map<std::string, const routing::Worker*> workers;
     for (const auto& [id, worker] : context_.workers)
@@ -224,7 +224,7 @@
     return tellers_[group].change(steady_now(), service, workers);
 }
 
-void ReadingExchange::publish(Scope scope) {
+void LoadReportExchange::publish(Scope scope) {
     std::map<Group, transport::Frame> frames;
     for (const auto& [connection, group] : subscribers_) {
         if (group.second != scope) continue;
@@ -237,12 +237,12 @@
     });
 }
 
-void ReadingExchange::on_readings(Source& source, const json& message) {
+void LoadReportExchange::on_readings(Source& source, const json& message) {
     if (message.at("type") == "readings") source.listener.take(steady_now(), message, context_.workers);
 }
 
 // The new one is told what all others of its group were told, and hears of changes with them from then on.
-void ReadingExchange::subscribe(const transport::FrameConnectionPtr& connection, const json& message) {
+void LoadReportExchange::subscribe(const transport::FrameConnectionPtr& connection, const json& message) {
     const Scope scope = message.at("scope") == scope_name(true) ? Scope::own : Scope::all;
     const Group group{message.at("service").get<std::string>(), scope};
     subscribers_[connection] = group;
@@ -257,7 +257,7 @@
     connection->send(tellers_[group].whole(steady_now(), group.first));
 }
 
-void ReadingExchange::accept(const transport::FrameConnectionPtr& connection) {
+void LoadReportExchange::accept(const transport::FrameConnectionPtr& connection) {
     if (subscribers_.size() >= membership::most_leases) return connection->close();
     connection->start(
         [this, weak = std::weak_ptr(connection)](const json& message) {
--- a/src/system/data/reading_exchange.h
+++ b/src/system/data/load_report_exchange.h
@@ -17,9 +17,9 @@
 
 namespace willowrill::data {
 
-class ReadingExchange {
+class LoadReportExchange {
   public:
-    ReadingExchange(Context& context, const std::string& host, std::uint16_t port);
+    LoadReportExchange(Context& context, const std::string& host, std::uint16_t port);
 
     void on_members(const std::vector<membership::Lease>& members) { members_ = members; }
     // Whether a first reading of every service has come.
@@ -38,7 +38,7 @@
         transport::FrameConnectionPtr connection;
         bool dialling = false;
         Clock::time_point heard;
-        load_reports::ReadingListener listener; // of what came on the connection
+        load_reports::LoadReportSubscriber listener; // of what came on the connection
     };
     struct Prober {
         std::shared_ptr<http_client::Client> client;
@@ -66,11 +66,11 @@
     transport::FrameListener listener_;
     std::vector<membership::Lease> members_;
     std::map<transport::FrameConnectionPtr, Group> subscribers_;
-    std::map<Group, load_reports::ReadingTeller> tellers_; // of groups that have subscribers
-    std::map<std::string, Source> sources_;                // by "service", or "service@zone" between homes
-    std::set<std::string> home_of_;                        // services this scheduler is home to
-    std::map<std::string, Clock::time_point> silent_;      // schedulers that were silent, and when
-    std::map<std::string, Prober> probers_;                // by instance id
+    std::map<Group, load_reports::LoadReportPublisher> tellers_; // of groups that have subscribers
+    std::map<std::string, Source> sources_;           // by "service", or "service@zone" between homes
+    std::set<std::string> home_of_;                   // services this scheduler is home to
+    std::map<std::string, Clock::time_point> silent_; // schedulers that were silent, and when
+    std::map<std::string, Prober> probers_;           // by instance id
     std::size_t probes_ = 0;
     std::uint64_t ticks_ = 0;
 };
--- a/src/system/discovery/codec.h
+++ b/src/system/discovery/codec.h
@@ -10,7 +10,7 @@
 // NOLINTBEGIN(readability-identifier-naming): the library looks these names up
 NLOHMANN_JSON_SERIALIZE_ENUM(InstanceState, {{InstanceState::draining, "draining"},
                                              {InstanceState::in_service, "in_service"}})
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Token, epoch, number)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FencingToken, epoch, number)
 
 inline void to_json(nlohmann::json& json, const Instance& in) {
     json = {{"id", in.id},
--- a/src/system/discovery/instances.h
+++ b/src/system/discovery/instances.h
@@ -39,16 +39,16 @@
 errors::Result<Page> parse_page(const std::string& body);
 
 // Grows with each change of owner: by epoch, then by number within it.
-struct Token {
+struct FencingToken {
     std::uint64_t epoch = 0;
     std::uint64_t number = 0;
-    auto operator<=>(const Token&) const = default;
+    auto operator<=>(const FencingToken&) const = default;
 };
 
 // One zone's list as one owner read it.
 struct ZoneList {
     std::string zone;
-    Token token;
+    FencingToken token;
     std::uint64_t serial = 0; // counts the owner's readings
     std::vector<Instance> instances;
 };
--- a/src/system/load_reports/load_report_delta.cpp
+++ b/src/system/load_reports/load_report_delta.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using nlohmann::json;
-using routing::Reading;
+using routing::LoadReport;
 using routing::Time;
 
 // Of the places or of the memory: smaller differences of load change no choice worth the bytes.
@@ -21,7 +21,7 @@
     return (a > b ? a - b : b - a) >= std::max<std::uint64_t>(1, step);
 }
 
-json encode(Time now, const std::string& id, const Reading& reading) {
+json encode(Time now, const std::string& id, const LoadReport& reading) {
     return {id,
             (now - reading.as_of).count(),
             reading.active,
@@ -31,8 +31,8 @@
             reading.answered};
 }
 
-Reading decode(Time now, const json& one) {
-    Reading out;
+LoadReport decode(Time now, const json& one) {
+    LoadReport out;
     out.as_of = now - Time(one.at(1).get<std::int64_t>());
     out.active = one.at(2).get<std::size_t>();
     out.queued = one.at(3).get<std::size_t>();
@@ -48,15 +48,15 @@
 
 } // namespace
 
-bool differs_enough(const Reading& told, const Reading& fresh, std::size_t capacity) {
+bool differs_materially(const LoadReport& told, const LoadReport& fresh, std::size_t capacity) {
     if (told.answered != fresh.answered || told.cache_total != fresh.cache_total) return true;
     return differ_by(told.active + told.queued, fresh.active + fresh.queued, capacity / told_parts) ||
            (fresh.cache_total > 0 &&
             differ_by(told.cache_used, fresh.cache_used, fresh.cache_total / told_parts));
 }
 
-json ReadingTeller::change(Time now, const std::string& service,
-                           const std::map<std::string, const routing::Worker*>& workers) {
+json LoadReportPublisher::change(Time now, const std::string& service,
+                                 const std::map<std::string, const routing::Worker*>& workers) {
     json out = message(service);
     json gone = json::array(), stale = json::array();
     for (const auto& [id, reading] : told_)
@@ -65,9 +65,9 @@
     std::optional<Time> oldest; // of those whose readings are as good as told
     for (const auto& [id, worker] : workers) {
         if (!worker->reading) continue;
-        const Reading& fresh = *worker->reading;
+        const LoadReport& fresh = *worker->reading;
         const auto told = told_.find(id);
-        if (told != told_.end() && !differs_enough(told->second, fresh, worker->instance.capacity)) {
+        if (told != told_.end() && !differs_materially(told->second, fresh, worker->instance.capacity)) {
             told->second.as_of = fresh.as_of;
             if (now - fresh.as_of > longest_fresh)
                 stale.push_back(id);
@@ -84,15 +84,15 @@
     return out;
 }
 
-json ReadingTeller::whole(Time now, const std::string& service) const {
+json LoadReportPublisher::whole(Time now, const std::string& service) const {
     json out = message(service);
     for (const auto& [id, reading] : told_)
         out["list"].push_back(encode(now, id, reading));
     return out;
 }
 
-void ReadingListener::take(Time now, const json& message, routing::Workers& workers) {
-    std::map<std::string, Reading> fresh;
+void LoadReportSubscriber::take(Time now, const json& message, routing::Workers& workers) {
+    std::map<std::string, LoadReport> fresh;
     for (const json& one : message.at("list"))
         fresh[one.at(0).get<std::string>()] = decode(now, one);
     const auto stale = message.value("stale", std::set<std::string>());
--- a/src/system/load_reports/load_report_delta.h
+++ b/src/system/load_reports/load_report_delta.h
@@ -15,10 +15,11 @@
 
 // Whether schedulers that go by `told` might choose otherwise if they knew `fresh`. `capacity`: of the
 // worker.
-bool differs_enough(const routing::Reading& told, const routing::Reading& fresh, std::size_t capacity);
+bool differs_materially(const routing::LoadReport& told, const routing::LoadReport& fresh,
+                        std::size_t capacity);
 
 // What the subscribers to a service were told, all the same.
-class ReadingTeller {
+class LoadReportPublisher {
   public:
     // The next message, and remembers it as told. `workers`: those that the subscribers hear of from here.
     nlohmann::json change(routing::Time now, const std::string& service,
@@ -27,18 +28,18 @@
     nlohmann::json whole(routing::Time now, const std::string& service) const;
 
   private:
-    std::map<std::string, routing::Reading> told_; // by instance id, of listed workers alone
+    std::map<std::string, routing::LoadReport> told_; // by instance id, of listed workers alone
 };
 
 // Takes what one teller has told into the workers known here.
-class ReadingListener {
+class LoadReportSubscriber {
   public:
     // Workers that are not known here yet have their readings kept for when they are. Throws
     // nlohmann::json::exception on a message of the wrong shape.
     void take(routing::Time now, const nlohmann::json& message, routing::Workers& workers);
 
   private:
-    std::map<std::string, routing::Reading> told_; // by instance id, at most `most_workers_told`
+    std::map<std::string, routing::LoadReport> told_; // by instance id, at most `most_workers_told`
 };
 
 inline constexpr std::size_t most_workers_told = 65536;
--- a/src/system/membership/codec.h
+++ b/src/system/membership/codec.h
@@ -11,7 +11,25 @@
 NLOHMANN_JSON_SERIALIZE_ENUM(Phase, {{Phase::starting, "starting"},
                                      {Phase::ready, "ready"},
                                      {Phase::leaving, "leaving"}})
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Lease, node, incarnation, renewal, zone, region, front, peer, phase)
+
+inline void to_json(nlohmann::json& json, const Lease& lease) {
+    json = {{"node", lease.node},         {"incarnation", lease.incarnation},
+            {"renewal", lease.renewal},   {"zone", lease.zone},
+            {"region", lease.region},     {"front", lease.client_address},
+            {"peer", lease.peer_address}, {"phase", lease.phase}};
+}
+
+inline void from_json(const nlohmann::json& json, Lease& out) {
+    json.at("node").get_to(out.node);
+    json.at("incarnation").get_to(out.incarnation);
+    json.at("renewal").get_to(out.renewal);
+    json.at("zone").get_to(out.zone);
+    json.at("region").get_to(out.region);
+    json.at("front").get_to(out.client_address);
+    json.at("peer").get_to(out.peer_address);
+    json.at("phase").get_to(out.phase);
+}
+
 // NOLINTEND(readability-identifier-naming)
 
 } // namespace willowrill::membership
--- a/src/system/membership/lease_table.h
+++ b/src/system/membership/lease_table.h
@@ -25,8 +25,8 @@
     std::uint64_t renewal = 0;     // counts up within an incarnation
     std::string zone;
     std::string region;
-    std::string front; // where clients connect, HOST:PORT
-    std::string peer;  // where other schedulers connect, HOST:PORT
+    std::string client_address; // where clients connect, HOST:PORT
+    std::string peer_address;   // where other schedulers connect, HOST:PORT
     Phase phase = Phase::starting;
     bool operator==(const Lease&) const = default;
 };
--- a/src/system/ownership/ownership.cpp
+++ b/src/system/ownership/ownership.cpp
@@ -27,7 +27,7 @@
     return out;
 }
 
-void Assigner::seen(const std::string& key, Token token, Time now) {
+void Assigner::seen(const std::string& key, FencingToken token, Time now) {
     const auto held = held_.find(key);
     if (held != held_.end() && held->second.assignment.token == token) held->second.seen = now;
 }
--- a/src/system/ownership/ownership.h
+++ b/src/system/ownership/ownership.h
@@ -14,12 +14,12 @@
 namespace willowrill::ownership {
 
 using Time = std::chrono::milliseconds;
-using Token = discovery::Token;
+using FencingToken = discovery::FencingToken;
 
 struct Assignment {
     std::string key;
     std::string owner;
-    Token token;
+    FencingToken token;
     bool operator==(const Assignment&) const = default;
 };
 
@@ -35,7 +35,7 @@
     Assigner(std::uint64_t epoch, Time patience) : epoch_(epoch), patience_(patience) {}
 
     // The owner's work under this token has been seen.
-    void seen(const std::string& key, Token token, Time now);
+    void seen(const std::string& key, FencingToken token, Time now);
     // Assigns what has no live owner, or one that shows no work. `preferred`: taken for the key if it is
     // live.
     std::vector<Assignment> assign(const std::vector<std::string>& keys, const std::vector<std::string>& live,
--- a/src/system/replication/codec.cpp
+++ b/src/system/replication/codec.cpp
@@ -24,8 +24,8 @@
 }
 // NOLINTEND(readability-identifier-naming)
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PromiseRequest, epoch, tentative)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PromiseReply, epoch, tentative, granted, leaving, witness_register,
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PrepareRequest, epoch, tentative)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PrepareReply, epoch, tentative, granted, leaving, witness_register,
                                    position)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FetchRequest, epoch)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FetchReply, epoch, state)
@@ -38,10 +38,10 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Heartbeat, number, record, committed, in_contact, echo)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(HeartbeatReply, number, epoch, promised, holds, voting, intact, leaving,
                                    sent_at)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Learn, epoch, state)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(CommitNotification, epoch, state)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RecoveryRequest, nonce)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RecoveryReply, nonce, voting, witness_register)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Yield, epoch)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LeadershipTransfer, epoch)
 
 namespace {
 
--- a/src/system/replication/durability.cpp
+++ b/src/system/replication/durability.cpp
@@ -65,7 +65,7 @@
     waiting_.push_back({last_ticket_, std::move(consequence)});
 }
 
-bool Replica::finish_ticket(Ticket ticket, bool saved) {
+bool Replica::finish_ticket(SaveId ticket, bool saved) {
     if (outstanding_.empty() || outstanding_.front().ticket != ticket) return false;
     if (saved) disk_intact_ = outstanding_.front().intact.value_or(disk_intact_);
     outstanding_.pop_front();
--- a/src/system/replication/election.cpp
+++ b/src/system/replication/election.cpp
@@ -56,17 +56,17 @@
     installed_.clear();
     accepted_by_.clear();
     if (!tentative) return start_collecting();
-    change_role(Role::canvassing, "primary-silent");
+    change_role(Role::pre_voting, "primary-silent");
     promises_[options_.self] = {register_, state_.position, leaving_};
     for (const MemberId& id : electors())
-        send(id, PromiseRequest{candidate_epoch_, true});
+        send(id, PrepareRequest{candidate_epoch_, true});
     count_promises();
 }
 
 // Nobody else is asked before its own promise is durable: a disk that stalls must not fence others.
 void Replica::start_collecting() {
     promises_.clear();
-    change_role(Role::collecting, planned_change_ ? "membership-change" : "enough-would-promise");
+    change_role(Role::preparing, planned_change_ ? "membership-change" : "enough-would-promise");
     WitnessRegister next = register_;
     next.promised = candidate_epoch_;
     highest_seen_ = std::max(highest_seen_, candidate_epoch_);
@@ -75,16 +75,16 @@
 }
 
 void Replica::carry_out(const OwnPromise& promise) {
-    if (role_ != Role::collecting || promise.epoch != candidate_epoch_) return;
+    if (role_ != Role::preparing || promise.epoch != candidate_epoch_) return;
     promises_[options_.self] = {register_, state_.position, leaving_};
     for (const MemberId& id : electors())
-        send(id, PromiseRequest{candidate_epoch_, false});
+        send(id, PrepareRequest{candidate_epoch_, false});
     plan_record();
 }
 
-void Replica::on_message(const MemberId& from, const PromiseReply& reply) {
+void Replica::on_message(const MemberId& from, const PrepareReply& reply) {
     const bool wanted = reply.epoch == candidate_epoch_ &&
-                        (reply.tentative ? role_ == Role::canvassing : role_ == Role::collecting);
+                        (reply.tentative ? role_ == Role::pre_voting : role_ == Role::preparing);
     if (!wanted) return;
     if (!reply.granted) {
         const Epoch promised = reply.witness_register.promised;
@@ -96,7 +96,7 @@
     promises_[from] = {reply.witness_register, reply.position, reply.leaving};
     for (const MemberId& id : electors()) // witnesses of a record that was not known here
         if (!std::ranges::binary_search(before, id))
-            send(id, PromiseRequest{candidate_epoch_, reply.tentative});
+            send(id, PrepareRequest{candidate_epoch_, reply.tentative});
     count_promises();
 }
 
@@ -108,7 +108,7 @@
 }
 
 void Replica::count_promises() {
-    if (role_ == Role::collecting) return plan_record();
+    if (role_ == Role::preparing) return plan_record();
     const std::set<MemberId> present = promised();
     const bool enough =
         has_quorum(highest_decided().witnesses, present) && has_quorum(highest_accepted().witnesses, present);
@@ -308,7 +308,7 @@
     stand_not_before_ = std::max(stand_not_before_, now_ + turn_pause_);
 }
 
-void Replica::on_message(const MemberId& from, const Yield& yield) {
+void Replica::on_message(const MemberId& from, const LeadershipTransfer& yield) {
     if (role_ != Role::backup || !can_vote() || leaving_) return;
     if (from == register_.decided.primary && yield.epoch == register_.decided.epoch) stand(false);
 }
--- a/src/system/replication/primary.cpp
+++ b/src/system/replication/primary.cpp
@@ -27,7 +27,7 @@
         if (proposed)
             actions_->emplace_back(Committed{proposal_->id});
         else
-            actions_->emplace_back(Undecided{proposal_->id});
+            actions_->emplace_back(OutcomeUnknown{proposal_->id});
         proposal_.reset();
     }
     heartbeat();
@@ -49,15 +49,15 @@
         const auto peer = peers_.find(id);
         if (id == options_.self || peer == peers_.end() || !alive(id)) continue;
         if (peer->second.leaving || !peer->second.voting) continue;
-        return send(id, Yield{register_.decided.epoch});
+        return send(id, LeadershipTransfer{register_.decided.epoch});
     }
 }
 
 void Replica::drop_orders() {
-    if (proposal_) actions_->emplace_back(Undecided{proposal_->id});
+    if (proposal_) actions_->emplace_back(OutcomeUnknown{proposal_->id});
     proposal_.reset();
     for (const auto& [id, waiting] : confirmations_)
-        actions_->emplace_back(Undecided{id});
+        actions_->emplace_back(OutcomeUnknown{id});
     confirmations_.clear();
 }
 
@@ -71,7 +71,7 @@
     const bool possible = role_ == Role::primary && !proposal_ && can_vote() && has_grown();
     if (!possible || register_.promised != register_.decided.epoch || event.based_on != committed_.position ||
         state_.position != committed_.position) {
-        actions_->emplace_back(Undecided{event.id});
+        actions_->emplace_back(OutcomeUnknown{event.id});
         return;
     }
     Position next{register_.decided.epoch, 1};
@@ -118,9 +118,9 @@
     heartbeat();
 }
 
-void Replica::on(const Confirm& event) {
+void Replica::on(const ConfirmLeadership& event) {
     if (role_ != Role::primary || !current(now_)) {
-        actions_->emplace_back(Undecided{event.id});
+        actions_->emplace_back(OutcomeUnknown{event.id});
         return;
     }
     heartbeat();
@@ -134,7 +134,7 @@
         for (const auto& [id, peer] : peers_)
             if (peer.heartbeat >= waiting.second.heartbeat) answered.insert(id);
         if (!has_quorum(register_.decided.witnesses, answered)) return false;
-        actions_->emplace_back(Confirmed{waiting.first});
+        actions_->emplace_back(LeadershipConfirmed{waiting.first});
         return true;
     });
 }
@@ -142,7 +142,7 @@
 void Replica::expire_confirmations() {
     std::erase_if(confirmations_, [&](const auto& waiting) {
         if (now_ - waiting.second.since <= options_.timing.confirm) return false;
-        actions_->emplace_back(Undecided{waiting.first});
+        actions_->emplace_back(OutcomeUnknown{waiting.first});
         return true;
     });
 }
@@ -191,7 +191,7 @@
     constexpr Time learn_again{300};
     if (peer.holds < committed_.position && now_ - peer.learn_sent >= learn_again) {
         peer.learn_sent = now_;
-        send(from, Learn{reply.epoch, committed_});
+        send(from, CommitNotification{reply.epoch, committed_});
     }
     check_confirmations();
 }
--- a/src/system/replication/replica.cpp
+++ b/src/system/replication/replica.cpp
@@ -17,9 +17,9 @@
         return "storage-failed";
     case Role::backup:
         return "backup";
-    case Role::canvassing:
+    case Role::pre_voting:
         return "canvassing";
-    case Role::collecting:
+    case Role::preparing:
         return "collecting";
     case Role::fetching:
         return "fetching";
@@ -101,8 +101,8 @@
     case Role::backup:
         if (may_stand()) stand(true);
         return;
-    case Role::canvassing:
-    case Role::collecting:
+    case Role::pre_voting:
+    case Role::preparing:
     case Role::fetching:
     case Role::installing:
     case Role::accepting:
@@ -110,7 +110,7 @@
             if (!outstanding_.empty()) lose_turn(); // its own disk is too slow to serve
             return abandon_election(0, "election-phase-too-long");
         }
-        if (role_ == Role::collecting) plan_record();
+        if (role_ == Role::preparing) plan_record();
         return;
     case Role::primary:
         return supervise_members();
@@ -143,7 +143,7 @@
 }
 
 // A connection that ends says the process is gone: a dead primary's successor need not wait for the timeout.
-void Replica::on(const PeerLost& event) {
+void Replica::on(const PeerDisconnected& event) {
     Peer& peer = peers_[event.peer];
     peer.connected = false;
     peer.steady_since = Time{-1};
@@ -152,17 +152,17 @@
             std::min(primary_heard_, now_ - options_.timing.election + options_.timing.election_step);
 }
 
-void Replica::on(const Leave&) {
+void Replica::on(const BeginShutdown&) {
     leaving_ = true;
     if (role_ == Role::primary) hand_over();
 }
 
 // ---- Witness ---------------------------------------------------------------------------------------------
 
-void Replica::on_message(const MemberId& from, const PromiseRequest& request) {
+void Replica::on_message(const MemberId& from, const PrepareRequest& request) {
     highest_seen_ = std::max(highest_seen_, request.epoch);
     const bool possible = can_vote() && request.epoch > register_.promised;
-    PromiseReply reply{request.epoch, request.tentative, false, leaving_, register_, state_.position};
+    PrepareReply reply{request.epoch, request.tentative, false, leaving_, register_, state_.position};
     if (request.tentative)
         reply.granted = possible && (!hears_primary() || from == register_.decided.primary);
     if (request.tentative || !possible) return send(from, reply);
@@ -255,7 +255,7 @@
     contact_at_ = std::max(contact_at_, at);
 }
 
-void Replica::on_message(const MemberId& from, const Learn& learn) {
+void Replica::on_message(const MemberId& from, const CommitNotification& learn) {
     if (learn.epoch < register_.promised || from != register_.decided.primary) return;
     commit(learn.state);
 }
--- a/src/system/replication/replica.h
+++ b/src/system/replication/replica.h
@@ -75,8 +75,8 @@
     recovering,
     storage_failed,
     backup,
-    canvassing,
-    collecting,
+    pre_voting,
+    preparing,
     fetching,
     installing,
     accepting,
@@ -95,11 +95,11 @@
 };
 // The record of this ticket survives any loss of power.
 struct Saved {
-    Ticket ticket = 0;
+    SaveId ticket = 0;
 };
 // The disk refused it, or reported an error after taking it: it may be there or not.
 struct SaveFailed {
-    Ticket ticket = 0;
+    SaveId ticket = 0;
 };
 struct Received {
     MemberId from;
@@ -108,7 +108,7 @@
 struct PeerConnected {
     MemberId peer;
 };
-struct PeerLost {
+struct PeerDisconnected {
     MemberId peer;
 };
 // Asks for a new state to be acknowledged; one at a time. `id` is the caller's. Not taken where another state
@@ -119,13 +119,13 @@
     std::string content;
 };
 // Asks whether this member is still the primary at a moment after the question.
-struct Confirm {
+struct ConfirmLeadership {
     std::uint64_t id = 0;
 };
 // The process is about to end.
-struct Leave {};
-using Event =
-    std::variant<Tick, Loaded, Saved, SaveFailed, Received, PeerConnected, PeerLost, Propose, Confirm, Leave>;
+struct BeginShutdown {};
+using Event = std::variant<Tick, Loaded, Saved, SaveFailed, Received, PeerConnected, PeerDisconnected,
+                           Propose, ConfirmLeadership, BeginShutdown>;
 
 struct Send {
     MemberId to;
@@ -135,7 +135,7 @@
 // fail, unseen by the disk, up to the next one that `restores`: what was asked for before the failure was
 // known may only make sense behind the record that failed.
 struct Save {
-    Ticket ticket = 0;
+    SaveId ticket = 0;
     DiskRecord record;
     bool restores = false;
 };
@@ -143,15 +143,15 @@
     std::uint64_t id = 0;
 };
 // Not decided here: it may or may not be in force.
-struct Undecided {
+struct OutcomeUnknown {
     std::uint64_t id = 0;
 };
-struct Confirmed {
+struct LeadershipConfirmed {
     std::uint64_t id = 0;
 };
 // `committed()` has a newer state.
 struct StateChanged {};
-using Action = std::variant<Send, Save, Committed, Undecided, Confirmed, StateChanged>;
+using Action = std::variant<Send, Save, Committed, OutcomeUnknown, LeadershipConfirmed, StateChanged>;
 
 class Replica {
   public:
@@ -224,11 +224,11 @@
     struct Restored {};
     using Consequence = std::variant<Send, OwnPromise, OwnInstall, OwnAccept, OwnCopy, Restored>;
     struct Outstanding {
-        Ticket ticket = 0;
+        SaveId ticket = 0;
         std::optional<bool> intact; // as the register to be saved says; none for a state
     };
     struct Waiting {
-        Ticket after = 0;
+        SaveId after = 0;
         Consequence consequence;
     };
 
@@ -238,13 +238,13 @@
     void on(const SaveFailed& failed);
     void on(const Received& received);
     void on(const PeerConnected& event);
-    void on(const PeerLost& event);
+    void on(const PeerDisconnected& event);
     void on(const Propose& event);
-    void on(const Confirm& event);
-    void on(const Leave&);
+    void on(const ConfirmLeadership& event);
+    void on(const BeginShutdown&);
 
-    void on_message(const MemberId& from, const PromiseRequest& request);
-    void on_message(const MemberId& from, const PromiseReply& reply);
+    void on_message(const MemberId& from, const PrepareRequest& request);
+    void on_message(const MemberId& from, const PrepareReply& reply);
     void on_message(const MemberId& from, const FetchRequest& request);
     void on_message(const MemberId& from, const FetchReply& reply);
     void on_message(const MemberId& from, const InstallRequest& request);
@@ -255,10 +255,10 @@
     void on_message(const MemberId& from, const ReplicateReply& reply);
     void on_message(const MemberId& from, const Heartbeat& beat);
     void on_message(const MemberId& from, const HeartbeatReply& reply);
-    void on_message(const MemberId& from, const Learn& learn);
+    void on_message(const MemberId& from, const CommitNotification& learn);
     void on_message(const MemberId& from, const RecoveryRequest& request);
     void on_message(const MemberId& from, const RecoveryReply& reply);
-    void on_message(const MemberId& from, const Yield& yield);
+    void on_message(const MemberId& from, const LeadershipTransfer& yield);
 
     // Durability (durability.cpp).
     void save(const WitnessRegister& next);
@@ -271,7 +271,7 @@
     void carry_out(const OwnAccept& accept);
     void carry_out(const OwnCopy& copy);
     void carry_out(const Restored&);
-    bool finish_ticket(Ticket ticket, bool saved);
+    bool finish_ticket(SaveId ticket, bool saved);
     void restore();
     bool disk_answers() const;
     bool can_vote() const;
@@ -357,7 +357,7 @@
     Time quorum_reached_{-1}; // connected to enough witnesses since then; negative: is not
 
     // Of the disk.
-    Ticket last_ticket_ = 0;
+    SaveId last_ticket_ = 0;
     bool disk_intact_ = false;            // as the register that is surely on disk says
     std::deque<Outstanding> outstanding_; // bounded: each message of a peer asks for two at the most
     std::deque<Waiting> waiting_;
--- a/src/system/replication/types.h
+++ b/src/system/replication/types.h
@@ -51,12 +51,12 @@
 // ---- Messages between members ----------------------------------------------------------------------------
 
 // Asks a witness to take part in no epoch below this one. `tentative`: only asks whether it would.
-struct PromiseRequest {
+struct PrepareRequest {
     Epoch epoch = 0;
     bool tentative = false;
 };
 
-struct PromiseReply {
+struct PrepareReply {
     Epoch epoch = 0;
     bool tentative = false;
     bool granted = false;
@@ -131,7 +131,7 @@
 };
 
 // Committed state for a member that lacks it; for reading only, not made durable there.
-struct Learn {
+struct CommitNotification {
     Epoch epoch = 0;
     ReplicatedState state;
 };
@@ -148,18 +148,19 @@
 };
 
 // A primary that is leaving asks a backup to take over now.
-struct Yield {
+struct LeadershipTransfer {
     Epoch epoch = 0;
 };
 
-using Message = std::variant<PromiseRequest, PromiseReply, FetchRequest, FetchReply, InstallRequest,
-                             InstallReply, AcceptRequest, AcceptReply, ReplicateRequest, ReplicateReply,
-                             Heartbeat, HeartbeatReply, Learn, RecoveryRequest, RecoveryReply, Yield>;
+using Message =
+    std::variant<PrepareRequest, PrepareReply, FetchRequest, FetchReply, InstallRequest, InstallReply,
+                 AcceptRequest, AcceptReply, ReplicateRequest, ReplicateReply, Heartbeat, HeartbeatReply,
+                 CommitNotification, RecoveryRequest, RecoveryReply, LeadershipTransfer>;
 
 // ---- Storage ---------------------------------------------------------------------------------------------
 
 // Names a save; saves are carried out and answered in the order of their tickets, which rise.
-using Ticket = std::uint64_t;
+using SaveId = std::uint64_t;
 
 // What is kept on disk. Each kind has a ring of records of its own, and the newest whole one counts.
 using DiskRecord = std::variant<WitnessRegister, ReplicatedState>;
--- a/src/system/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -32,7 +32,7 @@
     return out;
 }
 
-void Worker::take(const Reading& fresh) {
+void Worker::take(const LoadReport& fresh) {
     if (reading && fresh.as_of <= reading->as_of) return;
     reading = fresh;
     while (!dispatches.empty() && dispatches.front().at <= fresh.as_of)
--- a/src/system/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -14,7 +14,7 @@
 using Time = std::chrono::milliseconds; // steady
 
 // A worker's report of its load, as its prober passed it on.
-struct Reading {
+struct LoadReport {
     Time as_of{0}; // when the worker was in that state, at the latest
     std::size_t active = 0;
     std::size_t queued = 0;
@@ -31,7 +31,7 @@
 struct Worker {
     discovery::Instance instance;
     Time cold_until{-1};
-    std::optional<Reading> reading;
+    std::optional<LoadReport> reading;
     std::deque<Dispatch> dispatches; // not shown by the reading yet; their steps are X
     std::size_t in_flight = 0;       // of this scheduler's requests
     Time suspect_until{-1};          // failed to answer this scheduler
@@ -42,7 +42,7 @@
     double load() const;
     double degradation() const;
     // A fresh report clears what it shows of X.
-    void take(const Reading& fresh);
+    void take(const LoadReport& fresh);
     void note_dispatch(Time now, double step);
     void note_success();
     void note_failure(Time now);
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -150,7 +150,7 @@
                 connection->closed_at_dialler = [this, id, life = life_] {
                     when_awake(life, [this, id] {
                         links_.erase(id);
-                        feed(PeerLost{id});
+                        feed(PeerDisconnected{id});
                     });
                 };
                 send_to(id, [id = id_](Member& to) { to.know(id); });
@@ -220,7 +220,7 @@
 
 void Member::carry_out(const Action& action) {
     if (const auto* send = std::get_if<Send>(&action)) {
-        if (world_.break_no_turns && std::holds_alternative<Yield>(send->message)) return;
+        if (world_.break_no_turns && std::holds_alternative<LeadershipTransfer>(send->message)) return;
         const auto* request = std::get_if<ReplicateRequest>(&send->message);
         if (request != nullptr && world_.break_answers_for_others) {
             const ReplicateReply forged{request->epoch, request->state.position, true, request->epoch};
@@ -239,8 +239,8 @@
         return disk_.save(*save);
     }
     if (const auto* done = std::get_if<Committed>(&action)) return orders_->on(*done);
-    if (const auto* undecided = std::get_if<Undecided>(&action)) return orders_->on(*undecided);
-    if (const auto* confirmed = std::get_if<Confirmed>(&action)) return orders_->on(*confirmed);
+    if (const auto* undecided = std::get_if<OutcomeUnknown>(&action)) return orders_->on(*undecided);
+    if (const auto* confirmed = std::get_if<LeadershipConfirmed>(&action)) return orders_->on(*confirmed);
     on_committed();
 }
 
@@ -261,7 +261,7 @@
     if (!up_) return;
     ended_ = std::move(ended);
     left_at_ = world_.queue.now();
-    feed(Leave{});
+    feed(BeginShutdown{});
 }
 
 void Member::check_leave() {
--- a/tests/system/data/exchange_test.cpp
+++ b/tests/system/data/exchange_test.cpp
@@ -94,7 +94,7 @@
         added.instance.address = worker.address();
         added.instance.zone = "z";
         added.instance.capacity = 64;
-        added.reading = routing::Reading{steady_now(), active, 0, 0, 0, true};
+        added.reading = routing::LoadReport{steady_now(), active, 0, 0, 0, true};
     }
 
     std::string available() {
--- a/tests/system/load_reports/load_report_delta_test.cpp
+++ b/tests/system/load_reports/load_report_delta_test.cpp
@@ -9,10 +9,10 @@
 #include <random>
 
 using namespace willowrill;
-using load_reports::ReadingListener;
-using load_reports::ReadingTeller;
+using load_reports::LoadReportPublisher;
+using load_reports::LoadReportSubscriber;
 using nlohmann::json;
-using routing::Reading;
+using routing::LoadReport;
 using routing::Time;
 using routing::Worker;
 using routing::Workers;
@@ -38,8 +38,8 @@
     return out;
 }
 
-Reading reading(int at, std::size_t active) {
-    Reading out;
+LoadReport reading(int at, std::size_t active) {
+    LoadReport out;
     out.as_of = Time(at);
     out.active = active;
     out.cache_total = 1000;
@@ -52,8 +52,8 @@
 Test(readings, listeners_are_never_far_from_the_truth_nor_late) {
     std::mt19937_64 random(2);
     Workers home = some_workers(60), near = some_workers(60), later = some_workers(60);
-    ReadingTeller teller;
-    ReadingListener listener, late_listener;
+    LoadReportPublisher teller;
+    LoadReportSubscriber listener, late_listener;
     for (int at = 0; at < 60'000; at += 200) {
         for (auto& [id, worker] : home) {
             if (random() % 2 == 0) continue;
@@ -67,10 +67,11 @@
         if (at > 20'000) late_listener.take(Time(at), message, later);
         for (const auto& [id, worker] : home) {
             if (!worker.reading) continue;
-            const Reading& truth = *worker.reading;
+            const LoadReport& truth = *worker.reading;
             cr_assert(near.at(id).reading.has_value());
-            const Reading& known = *near.at(id).reading;
-            cr_assert_not(load_reports::differs_enough(known, truth, capacity), "%s at %d", id.c_str(), at);
+            const LoadReport& known = *near.at(id).reading;
+            cr_assert_not(load_reports::differs_materially(known, truth, capacity), "%s at %d", id.c_str(),
+                          at);
             cr_assert(known.as_of <= truth.as_of || truth.as_of < Time(at) - Time(1000));
             if (at > 20'000) cr_assert_eq(later.at(id).reading->active, known.active);
         }
@@ -80,8 +81,8 @@
 // At rest a message says no more than that nothing has changed, and clears what was dispatched before.
 Test(readings, at_rest_a_message_is_short_and_still_clears_what_it_shows) {
     Workers home = some_workers(60), near = some_workers(60);
-    ReadingTeller teller;
-    ReadingListener listener;
+    LoadReportPublisher teller;
+    LoadReportSubscriber listener;
     for (int at = 1000; at < 10'000; at += 400) {
         for (auto& [id, worker] : home)
             worker.take(reading(at - 100, 5));
@@ -97,8 +98,8 @@
 // One whose probes are not answered any more does not hold the others back, nor pass for fresh with them.
 Test(readings, a_silent_worker_is_not_vouched_for_with_the_rest) {
     Workers home = some_workers(3), near = some_workers(3);
-    ReadingTeller teller;
-    ReadingListener listener;
+    LoadReportPublisher teller;
+    LoadReportSubscriber listener;
     for (int at = 0; at < 4000; at += 200) {
         for (auto& [id, worker] : home)
             if (id != "i-1" || at == 0) worker.take(reading(at, 5));
@@ -106,7 +107,7 @@
     }
     cr_assert(near.at("i-0").reading->as_of >= Time(3800));
     cr_assert(near.at("i-1").reading->as_of <= Time(1000));
-    Reading dead = *home.at("i-1").reading;
+    LoadReport dead = *home.at("i-1").reading;
     dead.as_of = Time(4000);
     dead.answered = false;
     home.at("i-1").take(dead);
@@ -117,8 +118,8 @@
 // A reading may come before the list that names its worker; and one of a worker that is gone is forgotten.
 Test(readings, of_workers_that_are_not_listed_yet_are_kept_until_they_are_gone) {
     Workers home = some_workers(2), near = some_workers(1);
-    ReadingTeller teller;
-    ReadingListener listener;
+    LoadReportPublisher teller;
+    LoadReportSubscriber listener;
     for (auto& [id, worker] : home)
         worker.take(reading(100, 5));
     listener.take(Time(100), teller.change(Time(100), "s", views(home)), near);
@@ -137,7 +138,7 @@
 
 Test(readings, of_the_wrong_shape_change_nothing) {
     Workers near = some_workers(1);
-    ReadingListener listener;
+    LoadReportSubscriber listener;
     for (const char* bad : {R"({})", R"({"list":[7]})", R"({"list":[["i-0",1,"many",0,0,0,true]]})",
                             R"({"list":[],"rest_age":"old"})", R"({"list":[],"gone":7})"}) {
         bool thrown = false;
--- a/tests/system/membership/membership_test.cpp
+++ b/tests/system/membership/membership_test.cpp
@@ -34,7 +34,7 @@
     out.renewal = renewal;
     out.zone = node.substr(0, 1);
     out.region = node.substr(0, 1) == "a" ? "r" : "q";
-    out.front = node + ":80";
+    out.client_address = node + ":80";
     out.phase = phase;
     return out;
 }
@@ -313,7 +313,7 @@
 struct FakeReplica {
     std::vector<replication::Event> asked;
     control::OrderQueue queue{[this](replication::Event event) { asked.push_back(std::move(event)); }};
-    std::uint64_t last_confirm() const { return std::get<replication::Confirm>(asked.back()).id; }
+    std::uint64_t last_confirm() const { return std::get<replication::ConfirmLeadership>(asked.back()).id; }
 };
 
 const char* const body = R"({"configVersion":2,"routes":[],"services":[]})";
@@ -327,7 +327,7 @@
         cr_assert(static_cast<bool>(result));
         ++done;
     });
-    fake.queue.on(replication::Confirmed{fake.last_confirm()});
+    fake.queue.on(replication::LeadershipConfirmed{fake.last_confirm()});
     cr_assert_eq(done, 0);
     const auto proposed = std::get<replication::Propose>(fake.asked.back());
     cr_assert_eq(configuration::decode(proposed.content).value().version, 2U);
@@ -343,8 +343,8 @@
     const auto note = [&](control::OrderResult result) { kinds.push_back(result.error().kind); };
     fake.queue.submit(configuration::PutConfiguration{0, body}, note);
     fake.queue.submit(configuration::PutConfiguration{0, "{"}, note);
-    fake.queue.on(replication::Undecided{fake.last_confirm()});
-    fake.queue.on(replication::Confirmed{fake.last_confirm()});
+    fake.queue.on(replication::OutcomeUnknown{fake.last_confirm()});
+    fake.queue.on(replication::LeadershipConfirmed{fake.last_confirm()});
     cr_assert_eq(kinds.size(), 2U);
     cr_assert_geq(errors::answer_to(kinds[0]).status, 500U);
     cr_assert_eq(errors::answer_to(kinds[1]).status, 400U);
@@ -368,10 +368,10 @@
     std::string read;
     fake.queue.read([&](errors::Result<std::string> text) { read = text ? text.value() : "error"; });
     cr_assert(read.empty());
-    fake.queue.on(replication::Confirmed{fake.last_confirm()});
+    fake.queue.on(replication::LeadershipConfirmed{fake.last_confirm()});
     expect_text(read.c_str(), body);
     fake.queue.read([&](errors::Result<std::string> text) { read = text ? text.value() : "error"; });
-    fake.queue.on(replication::Undecided{fake.last_confirm()});
+    fake.queue.on(replication::OutcomeUnknown{fake.last_confirm()});
     expect_text(read.c_str(), "error");
 }
 
--- a/tests/system/replication/replication_test.cpp
+++ b/tests/system/replication/replication_test.cpp
@@ -64,7 +64,7 @@
 
 Test(witness, a_promise_is_stored_before_it_is_given) {
     ReplicaDriver member(options("b:1", true));
-    const auto replies = sent<PromiseReply>(member.receive(0, "a:1", PromiseRequest{7, false}));
+    const auto replies = sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false}));
     cr_assert_eq(replies.size(), 1U);
     cr_assert(replies[0].granted);
     cr_assert_eq(member.witness_register()->promised, 7U);
@@ -72,28 +72,28 @@
 
 Test(witness, an_epoch_is_promised_once) {
     ReplicaDriver member(options("b:1", true));
-    member.receive(0, "a:1", PromiseRequest{7, false});
-    cr_assert_not(sent<PromiseReply>(member.receive(1, "c:1", PromiseRequest{7, false}))[0].granted);
-    cr_assert_not(sent<PromiseReply>(member.receive(2, "c:1", PromiseRequest{6, false}))[0].granted);
-    cr_assert(sent<PromiseReply>(member.receive(3, "c:1", PromiseRequest{8, false}))[0].granted);
+    member.receive(0, "a:1", PrepareRequest{7, false});
+    cr_assert_not(sent<PrepareReply>(member.receive(1, "c:1", PrepareRequest{7, false}))[0].granted);
+    cr_assert_not(sent<PrepareReply>(member.receive(2, "c:1", PrepareRequest{6, false}))[0].granted);
+    cr_assert(sent<PrepareReply>(member.receive(3, "c:1", PrepareRequest{8, false}))[0].granted);
 }
 
 Test(witness, a_promise_outlives_the_process) {
     ReplicaDriver first(options("b:1", true));
-    first.receive(0, "a:1", PromiseRequest{7, false});
+    first.receive(0, "a:1", PrepareRequest{7, false});
     ReplicaDriver again(options("b:1", false), first.disk());
-    cr_assert_not(sent<PromiseReply>(again.receive(0, "c:1", PromiseRequest{7, false}))[0].granted);
+    cr_assert_not(sent<PrepareReply>(again.receive(0, "c:1", PrepareRequest{7, false}))[0].granted);
 }
 
 Test(witness, a_tentative_question_binds_nothing) {
     ReplicaDriver member(options("b:1", true));
-    cr_assert(sent<PromiseReply>(member.receive(5000, "a:1", PromiseRequest{7, true}))[0].granted);
+    cr_assert(sent<PrepareReply>(member.receive(5000, "a:1", PrepareRequest{7, true}))[0].granted);
     cr_assert_eq(member.witness_register()->promised, 1U);
 }
 
 Test(witness, a_record_below_the_promise_is_not_stored) {
     ReplicaDriver member(options("b:1", true));
-    member.receive(0, "a:1", PromiseRequest{9, false});
+    member.receive(0, "a:1", PrepareRequest{9, false});
     const auto reply = sent<AcceptReply>(member.receive(1, "c:1", AcceptRequest{record(8, "c:1")}))[0];
     cr_assert_not(reply.stored);
     cr_assert_eq(reply.promised, 9U);
@@ -102,7 +102,7 @@
 
 Test(backup, a_fenced_primary_can_store_nothing_here) {
     ReplicaDriver member(options("b:1", true));
-    member.receive(0, "c:1", PromiseRequest{9, false});
+    member.receive(0, "c:1", PrepareRequest{9, false});
     const ReplicatedState state{{8, 1}, std::make_shared<const std::string>("x")};
     cr_assert_not(sent<ReplicateReply>(member.receive(1, "a:1", ReplicateRequest{8, state}))[0].stored);
     cr_assert(member.state()->position == Position{});
@@ -111,7 +111,7 @@
 Test(recovery, an_empty_disk_neither_votes_nor_counts) {
     ReplicaDriver member(options("b:1", false));
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::recovering));
-    cr_assert_not(sent<PromiseReply>(member.receive(0, "a:1", PromiseRequest{7, false}))[0].granted);
+    cr_assert_not(sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false}))[0].granted);
     cr_assert_not(sent<AcceptReply>(member.receive(1, "a:1", AcceptRequest{record(7, "a:1")}))[0].stored);
     const ReplicatedState state{{7, 1}, std::make_shared<const std::string>("x")};
     cr_assert_not(sent<ReplicateReply>(member.receive(2, "a:1", ReplicateRequest{7, state}))[0].stored);
@@ -147,11 +147,11 @@
 Test(election, nobody_stands_without_reaching_a_quorum) {
     ReplicaDriver member(options("a:1", true));
     for (int at = 0; at < 20000; at += 50)
-        cr_assert(sent<PromiseRequest>(member.step(at, Tick{})).empty());
+        cr_assert(sent<PrepareRequest>(member.step(at, Tick{})).empty());
     member.step(20000, PeerConnected{"b:1"});
     bool stood = false;
     for (int at = 20000; at < 22000; at += 50)
-        stood = stood || !sent<PromiseRequest>(member.step(at, Tick{})).empty();
+        stood = stood || !sent<PrepareRequest>(member.step(at, Tick{})).empty();
     cr_assert(stood);
 }
 
@@ -161,7 +161,7 @@
     member.step(0, PeerConnected{"c:1"});
     for (int at = 0; at < 10000; at += 50) {
         member.receive(at, "a:1", Heartbeat{1, record(2, "a:1"), {}});
-        cr_assert(sent<PromiseRequest>(member.step(at, Tick{})).empty());
+        cr_assert(sent<PrepareRequest>(member.step(at, Tick{})).empty());
     }
 }
 
@@ -176,10 +176,10 @@
     member.step(0, PeerConnected{"c:1"});
     Epoch epoch = 0;
     for (int at = 50; epoch == 0 && at < 1000; at += 50)
-        for (const PromiseRequest& request : sent<PromiseRequest>(member.step(at, Tick{})))
+        for (const PrepareRequest& request : sent<PrepareRequest>(member.step(at, Tick{})))
             epoch = request.epoch;
     const auto promise = [&](bool tentative) {
-        return PromiseReply{epoch, tentative, true, false, {epoch, record(1, "a:1"), record(1, "a:1"), true},
+        return PrepareReply{epoch, tentative, true, false, {epoch, record(1, "a:1"), record(1, "a:1"), true},
                             {}};
     };
     member.receive(1000, "c:1", promise(true)); // so that both others are known to be alive
@@ -212,12 +212,12 @@
 Test(disk, nothing_is_vouched_for_before_it_is_durable) {
     ReplicaDriver member(options("b:1", true));
     member.mode = ReplicaDriver::DiskMode::holds;
-    cr_assert(sent<PromiseReply>(member.receive(0, "a:1", PromiseRequest{7, false})).empty());
+    cr_assert(sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false})).empty());
     cr_assert(sent<AcceptReply>(member.receive(1, "a:1", AcceptRequest{record(7, "a:1")})).empty());
     const ReplicatedState state{{7, 1}, std::make_shared<const std::string>("x")};
     cr_assert(sent<ReplicateReply>(member.receive(2, "a:1", ReplicateRequest{7, state})).empty());
     const auto released = member.release(3);
-    cr_assert(sent<PromiseReply>(released).at(0).granted);
+    cr_assert(sent<PrepareReply>(released).at(0).granted);
     cr_assert(sent<AcceptReply>(released).at(0).stored);
     cr_assert(sent<ReplicateReply>(released).at(0).stored);
 }
@@ -225,7 +225,7 @@
 Test(disk, a_stalled_one_holds_up_no_heartbeat) {
     ReplicaDriver member(options("b:1", true));
     member.mode = ReplicaDriver::DiskMode::holds;
-    member.receive(0, "a:1", PromiseRequest{7, false});
+    member.receive(0, "a:1", PrepareRequest{7, false});
     const auto soon =
         sent<HeartbeatReply>(member.receive(100, "a:1", Heartbeat{1, record(7, "a:1"), {}, true, 0}));
     cr_assert_eq(soon.size(), 1U);
@@ -233,14 +233,14 @@
     const auto late =
         sent<HeartbeatReply>(member.receive(900, "a:1", Heartbeat{2, record(7, "a:1"), {}, true, 0}));
     cr_assert_not(late.at(0).voting, "what it is given may never be durable");
-    cr_assert_not(sent<PromiseReply>(member.receive(901, "c:1", PromiseRequest{9, true})).at(0).granted);
+    cr_assert_not(sent<PrepareReply>(member.receive(901, "c:1", PrepareRequest{9, true})).at(0).granted);
 }
 
 Test(disk, a_stalled_one_is_asked_for_nothing_more) {
     ReplicaDriver member(options("b:1", true));
     member.mode = ReplicaDriver::DiskMode::holds;
     for (Epoch epoch = 7; epoch < 1000; ++epoch) {
-        member.receive(static_cast<int>(epoch) * 10, "a:1", PromiseRequest{epoch, false});
+        member.receive(static_cast<int>(epoch) * 10, "a:1", PrepareRequest{epoch, false});
         member.receive(static_cast<int>(epoch) * 10, "a:1",
                        Heartbeat{epoch, record(epoch, "a:1"), {}, true, 0});
     }
@@ -252,10 +252,10 @@
 Test(disk, a_refused_save_takes_the_member_out_until_the_disk_returns_records) {
     ReplicaDriver member(options("b:1", true));
     member.mode = ReplicaDriver::DiskMode::refuses;
-    cr_assert(sent<PromiseReply>(member.receive(0, "a:1", PromiseRequest{7, false})).empty(),
+    cr_assert(sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false})).empty(),
               "its fate is unknown");
     cr_assert(member.replica.role() == Role::storage_failed);
-    cr_assert_not(sent<PromiseReply>(member.receive(10, "c:1", PromiseRequest{8, false})).at(0).granted);
+    cr_assert_not(sent<PrepareReply>(member.receive(10, "c:1", PrepareRequest{8, false})).at(0).granted);
     cr_assert_not(sent<AcceptReply>(member.receive(11, "c:1", AcceptRequest{record(8, "c:1")})).at(0).stored);
     cr_assert_not(sent<HeartbeatReply>(member.receive(12, "a:1", Heartbeat{1, record(1, "a:1"), {}, true, 0}))
                       .at(0)
@@ -268,14 +268,14 @@
         member.step(at, Tick{});
     cr_assert(member.replica.role() == Role::backup);
     cr_assert_eq(member.witness_register()->promised, 7U, "what it may have promised is kept");
-    cr_assert_not(sent<PromiseReply>(member.receive(4501, "c:1", PromiseRequest{7, false})).at(0).granted);
-    cr_assert(sent<PromiseReply>(member.receive(4502, "c:1", PromiseRequest{9, false})).at(0).granted);
+    cr_assert_not(sent<PrepareReply>(member.receive(4501, "c:1", PrepareRequest{7, false})).at(0).granted);
+    cr_assert(sent<PrepareReply>(member.receive(4502, "c:1", PrepareRequest{9, false})).at(0).granted);
 }
 
 Test(disk, what_came_behind_a_refused_record_is_not_believed) {
     ReplicaDriver member(options("b:1", true));
     const ReplicatedState state{{7, 1}, std::make_shared<const std::string>("x")};
-    member.receive(0, "a:1", PromiseRequest{7, false});
+    member.receive(0, "a:1", PrepareRequest{7, false});
     member.mode = ReplicaDriver::DiskMode::holds;
     member.receive(1, "a:1", InstallRequest{7, state});
     std::vector<Action> out;
@@ -340,8 +340,8 @@
     answer_heartbeats(member, 1005, member.step(1300, Tick{}));
     member.mode = ReplicaDriver::DiskMode::refuses;
     const auto actions = member.step(1310, propose(member, 1, "x"));
-    cr_assert_eq(done<Undecided>(actions).size(), 1U);
-    cr_assert_eq(sent<Yield>(actions).size(), 1U);
+    cr_assert_eq(done<OutcomeUnknown>(actions).size(), 1U);
+    cr_assert_eq(sent<LeadershipTransfer>(actions).size(), 1U);
     cr_assert(member.replica.role() == Role::storage_failed);
 }
 
@@ -352,8 +352,8 @@
     std::size_t yields = 0, undecided = 0;
     for (int at = 1050; at <= 2000 && member.replica.is_primary(); at += 50) {
         const auto actions = member.step(at, Tick{});
-        yields += sent<Yield>(actions).size();
-        undecided += done<Undecided>(actions).size();
+        yields += sent<LeadershipTransfer>(actions).size();
+        undecided += done<OutcomeUnknown>(actions).size();
         answer_heartbeats(member, at, actions);
     }
     cr_assert_not(member.replica.is_primary());
@@ -373,13 +373,13 @@
         const int failed = at;
         Epoch epoch = 0;
         for (; epoch == 0 && at < failed + 20000; at += 50)
-            for (const PromiseRequest& request : sent<PromiseRequest>(member.step(at, Tick{})))
+            for (const PrepareRequest& request : sent<PrepareRequest>(member.step(at, Tick{})))
                 epoch = request.epoch;
         waited.push_back(at - failed);
         const WitnessRegister theirs{epoch, record(1, "a:1"), record(1, "a:1"), true};
         for (const bool tentative : {true, false})
             for (const char* const from : {"b:1", "c:1"})
-                member.receive(at, from, PromiseReply{epoch, tentative, true, false, theirs, {}});
+                member.receive(at, from, PrepareReply{epoch, tentative, true, false, theirs, {}});
         for (const char* const from : {"b:1", "c:1"})
             member.receive(at, from, InstallReply{epoch, true, epoch});
         for (const char* const from : {"b:1", "c:1"})
@@ -405,20 +405,20 @@
 
 Test(primary, an_order_on_another_state_than_the_newest_is_not_taken) {
     ReplicaDriver member = primary();
-    cr_assert_eq(done<Undecided>(member.step(1010, Propose{1, {7, 7}, "x"})).size(), 1U);
+    cr_assert_eq(done<OutcomeUnknown>(member.step(1010, Propose{1, {7, 7}, "x"})).size(), 1U);
 }
 
 Test(primary, one_that_reaches_nobody_says_so_at_once) {
     ReplicaDriver member = primary();
-    cr_assert_eq(done<Undecided>(member.step(3000, Confirm{5})).size(), 1U);
+    cr_assert_eq(done<OutcomeUnknown>(member.step(3000, ConfirmLeadership{5})).size(), 1U);
 }
 
 Test(primary, a_question_that_finds_no_quorum_is_given_up_soon) {
     ReplicaDriver member = primary();
-    cr_assert(done<Undecided>(member.step(1010, Confirm{5})).empty());
+    cr_assert(done<OutcomeUnknown>(member.step(1010, ConfirmLeadership{5})).empty());
     std::size_t given_up = 0;
     for (int at = 1050; at <= 1800; at += 50)
-        given_up += done<Undecided>(member.step(at, Tick{})).size();
+        given_up += done<OutcomeUnknown>(member.step(at, Tick{})).size();
     cr_assert_eq(given_up, 1U);
 }
 
@@ -434,7 +434,7 @@
 Test(backup, a_late_copy_of_an_install_does_not_replace_a_newer_state) {
     ReplicaDriver member(options("b:1", true));
     const auto content = std::make_shared<const std::string>("x");
-    member.receive(0, "a:1", PromiseRequest{7, false});
+    member.receive(0, "a:1", PrepareRequest{7, false});
     const InstallRequest install{7, {{1, 5}, content}};
     cr_assert(sent<InstallReply>(member.receive(1, "a:1", install)).at(0).stored);
     member.receive(2, "a:1", ReplicateRequest{7, {{7, 1}, content}});
@@ -467,7 +467,7 @@
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {2, 1}, true, 0});
     member.receive(1100, "a:1", Heartbeat{2, record(2, "a:1"), {2, 1}, true, 1000});
     cr_assert_not(member.replica.current(Time(1100)));
-    member.receive(1110, "a:1", Learn{2, {{2, 1}, std::make_shared<const std::string>("x")}});
+    member.receive(1110, "a:1", CommitNotification{2, {{2, 1}, std::make_shared<const std::string>("x")}});
     member.receive(1200, "a:1", Heartbeat{3, record(2, "a:1"), {2, 1}, true, 1100});
     cr_assert(member.replica.current(Time(1200)));
 }
@@ -477,7 +477,7 @@
 Test(leaving, not_before_the_others_hold_the_copies) {
     ReplicaDriver member(options("b:1", true));
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {}, true, 0});
-    member.step(1010, Leave{});
+    member.step(1010, BeginShutdown{});
     cr_assert_not(member.replica.may_end(Time(1010)), "it is in sync");
     const EpochRecord without{3, "a:1", {"a:1", "c:1"}, three};
     member.receive(1100, "a:1", Heartbeat{2, without, {}, true, 0});
@@ -502,14 +502,14 @@
                 member.receive(at, send->to,
                                HeartbeatReply{beat->number, beat->record.epoch, beat->record.epoch,
                                               beat->committed, true, true, send->to == "c:1", at});
-            if (const auto* request = std::get_if<PromiseRequest>(&send->message)) epoch = request->epoch;
+            if (const auto* request = std::get_if<PrepareRequest>(&send->message)) epoch = request->epoch;
         }
     }
     cr_assert_gt(epoch, 0U, "a leaver is a reason for a new epoch");
     const EpochRecord known = member.replica.witness_register().decided;
     std::vector<Action> actions;
     for (const char* const from : {"b:1", "c:1"}) {
-        const PromiseReply reply{epoch, false, true, from[0] == 'c', {epoch, known, known, true}, {}};
+        const PrepareReply reply{epoch, false, true, from[0] == 'c', {epoch, known, known, true}, {}};
         for (const Action& action : member.receive(5000, from, reply))
             actions.push_back(action);
     }
--- a/tests/system/routing/routing_test.cpp
+++ b/tests/system/routing/routing_test.cpp
@@ -50,8 +50,8 @@
     budget::ColdBudget cold{{1.5, 5}};
 };
 
-Reading reading(int as_of, std::size_t active) {
-    Reading out;
+LoadReport reading(int as_of, std::size_t active) {
+    LoadReport out;
     out.as_of = Time(as_of);
     out.active = active;
     return out;
@@ -81,7 +81,7 @@
     Scene scene;
     scene.route.target = std::chrono::milliseconds(1000);
     scene.demand.prompt.input_tokens = 1000;
-    Reading waiting = reading(900, 0);
+    LoadReport waiting = reading(900, 0);
     waiting.queued = 2;
     scene.add("a", "north-a").take(waiting);
     scene.add("b", "north-a").take(reading(900, 3));
@@ -115,7 +115,7 @@
     cr_assert(holder.nothing_waits);
     // 200 ms of waiting at the holder, then 600, against none at another.
     prefill.note_dispatch(1000);
-    Reading waiting = reading(950, 0);
+    LoadReport waiting = reading(950, 0);
     scene.add("b", "north-a").take(reading(950, 0));
     const std::string held = scene.choose();
     waiting.as_of = Time(960);
