--- a/src/system/data/in_force.h
+++ b/src/system/data/active_configuration.h
@@ -11,18 +11,19 @@
 
 namespace willowrill::data {
 
-struct Snapshot {
-    Snapshot(replication::Position at, configuration::Configuration parsed, std::set<std::string> zones)
+struct ActiveConfiguration {
+    ActiveConfiguration(replication::Position at, configuration::Configuration parsed,
+                        std::set<std::string> zones)
         : position(at), configuration(std::move(parsed)), routes(configuration), evacuated(std::move(zones)) {
     }
-    Snapshot(const Snapshot&) = delete;
-    Snapshot& operator=(const Snapshot&) = delete;
+    ActiveConfiguration(const ActiveConfiguration&) = delete;
+    ActiveConfiguration& operator=(const ActiveConfiguration&) = delete;
 
     replication::Position position;
     configuration::Configuration configuration;
     configuration::RouteTable routes; // points into `configuration`
     std::set<std::string> evacuated;
 };
-using SnapshotPtr = std::shared_ptr<const Snapshot>;
+using ActiveConfigurationPtr = std::shared_ptr<const ActiveConfiguration>;
 
 } // namespace willowrill::data
--- a/src/system/data/context.h
+++ b/src/system/data/context.h
@@ -4,7 +4,7 @@
 
 #include "system/budget/cold_budget.h"
 #include "system/budget/retry_budget.h"
-#include "system/data/in_force.h"
+#include "system/data/active_configuration.h"
 #include "system/data/worker_pool.h"
 #include "system/metrics/metrics.h"
 #include "system/routing/selector.h"
@@ -38,7 +38,7 @@
 
     asio::io_context& loop;
     const settings::Settings& settings;
-    SnapshotPtr in_force; // null until a configuration is known
+    ActiveConfigurationPtr active_configuration; // null until a configuration is known
     routing::Workers workers;
     routing::Selector selector;
     budget::ColdBudget cold;
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -34,7 +34,10 @@
       context_(loop, settings_, identity::random_identity()), incarnation_(identity::random_identity()),
       core_(loop, settings_,
             {[this] { return lease(); },
-             [this] { return context_.in_force ? std::optional(context_.in_force->position) : std::nullopt; },
+             [this] {
+                 return context_.active_configuration ? std::optional(context_.active_configuration->position)
+                                                      : std::nullopt;
+             },
              [this] { return std::exchange(lacks_, {}); }, [this] { members_.begin_session(); },
              [this](const json& message) { on_push(message); },
              [this] {
@@ -89,7 +92,7 @@
 }
 
 bool DataPlane::knows_enough() const {
-    if (!context_.in_force || !workers_known_since_) return false;
+    if (!context_.active_configuration || !workers_known_since_) return false;
     return readings_.has_readings() || Clock::now() - *workers_known_since_ >= readings_wait;
 }
 
@@ -140,7 +143,7 @@
 }
 
 void DataPlane::on_state(const json& message) {
-    const Snapshot* held = context_.in_force.get();
+    const ActiveConfiguration* held = context_.active_configuration.get();
     auto push = distribution::read_state_push(message, held == nullptr ? nullptr : &held->position,
                                               held == nullptr ? nullptr : &held->configuration);
     if (!push) {
@@ -152,12 +155,12 @@
         return ask_whole(distribution::lacks_state);
     auto* next = std::get_if<distribution::HeldState>(&push.value());
     if (next == nullptr) return;
-    if (context_.in_force) assume_cold(context_.in_force->evacuated, next->evacuated);
-    context_.in_force = std::make_shared<const Snapshot>(next->position, std::move(next->configuration),
-                                                         std::move(next->evacuated));
+    if (context_.active_configuration) assume_cold(context_.active_configuration->evacuated, next->evacuated);
+    context_.active_configuration = std::make_shared<const ActiveConfiguration>(
+        next->position, std::move(next->configuration), std::move(next->evacuated));
     fmt::print(stderr, "level=info event=configuration node={} version={} evacuated={} change={}\n",
-               settings_.node_name, context_.in_force->configuration.version,
-               context_.in_force->evacuated.size(), message.at("type") == "state-change");
+               settings_.node_name, context_.active_configuration->configuration.version,
+               context_.active_configuration->evacuated.size(), message.at("type") == "state-change");
 }
 
 // Workers of a zone that is taken back may have turned cold a moment ago, before the platform's list says so.
@@ -166,9 +169,10 @@
         const std::string& zone = worker.instance.zone;
         if (!before.contains(zone) || after.contains(zone)) continue;
         const configuration::Service* service =
-            context_.in_force->configuration.find_service(worker.instance.service);
+            context_.active_configuration->configuration.find_service(worker.instance.service);
         if (service == nullptr || service->cold_rate_per_s <= 0) continue;
-        worker.cold_until = std::max(worker.cold_until, steady_now() + service->cold_start + cold_unknown);
+        worker.warming_until =
+            std::max(worker.warming_until, steady_now() + service->cold_start + cold_unknown);
     }
 }
 
@@ -196,7 +200,7 @@
         routing::Worker& worker = context_.workers[instance.id];
         worker.instance = instance;
         if (instance.cold_remaining.count() > 0)
-            worker.cold_until = std::max(worker.cold_until, now + instance.cold_remaining);
+            worker.warming_until = std::max(worker.warming_until, now + instance.cold_remaining);
     }
     std::erase_if(context_.workers, [&](const auto& item) {
         return item.second.instance.zone == list.zone && !listed.contains(item.first);
--- a/src/system/data/exchange.cpp
+++ b/src/system/data/exchange.cpp
@@ -19,18 +19,20 @@
 } // namespace
 
 Exchange::Exchange(Context& context, beast::tcp_stream& client, const ClientRequest& request,
-                   SnapshotPtr in_force, const configuration::Route& route, Time arrived)
-    : context_(context), client_(client), request_(request), in_force_(std::move(in_force)), route_(route),
-      arrived_(arrived), keep_alive_(request.keep_alive()),
-      watchdog_(std::make_shared<Watchdog>(context.loop)) {
+                   ActiveConfigurationPtr active_configuration, const configuration::Route& route,
+                   Time arrived)
+    : context_(context), client_(client), request_(request),
+      active_configuration_(std::move(active_configuration)), route_(route), arrived_(arrived),
+      keep_alive_(request.keep_alive()), watchdog_(std::make_shared<Watchdog>(context.loop)) {
     Time allowed = route.timeout;
     if (const auto given = request.find("Time-Remaining"); given != request.end())
         if (const auto value = whole_number(given->value())) allowed = std::min(allowed, Time(*value));
     deadline_ = arrived + allowed;
     attempt_id_ = text(request["Attempt-Id"]);
-    demand_.route = &route;
+    routing_request_.route = &route;
     if (route.affinity)
-        demand_.prompt = routing::read_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
+        routing_request_.prompt =
+            routing::read_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
 }
 
 Time Exchange::left() const { return deadline_ - steady_now(); }
@@ -65,9 +67,9 @@
 asio::awaitable<void> Exchange::run() {
     ++context_.counters.requests;
     const std::string& name = context_.selector.pick_service(route_);
-    service_ = in_force_->configuration.find_service(name);
-    demand_.service = service_;
-    if (service_->has_engine) demand_.prefill = &context_.prefill_costs[name];
+    service_ = active_configuration_->configuration.find_service(name);
+    routing_request_.service = service_;
+    if (service_->has_engine) routing_request_.prefill = &context_.prefill_costs[name];
     context_.retries(name).note_request(steady_now());
     const auto rank = [this](const std::string& worker) {
         const std::uint64_t own = ownership::rendezvous_weight(worker, context_.settings.node_name);
@@ -79,17 +81,17 @@
     const Time patience = std::min(route_.target / 5, Time(250));
     while (state_ != ExchangeState::client_left) {
         if (left() <= answer_margin) break;
-        const routing::Bounds bounds{&in_force_->evacuated, context_.schedulers, rank};
-        const routing::Choice choice =
-            context_.selector.choose(steady_now(), context_.workers, demand_, bounds, context_.cold);
-        if (choice.worker == nullptr) {
+        const routing::SelectionLimits bounds{&active_configuration_->evacuated, context_.schedulers, rank};
+        const routing::Selection selection =
+            context_.selector.choose(steady_now(), context_.workers, routing_request_, bounds, context_.cold);
+        if (selection.worker == nullptr) {
             if (head_sent_ || sends_ > 0 || steady_now() - arrived_ >= patience) break;
             SteadyTimer pause(context_.loop, wait_step);
             co_await pause.async_wait(asio::use_awaitable);
-            demand_.tried.clear(); // those that could not be reached may be back
+            routing_request_.tried.clear(); // those that could not be reached may be back
             continue;
         }
-        const AttemptEnd end = co_await attempt(choice);
+        const AttemptEnd end = co_await attempt(selection);
         if (state_ == ExchangeState::client_left || end == AttemptEnd::answered) break;
         if (!may_send_again(end)) break;
     }
@@ -165,22 +167,22 @@
     return upstream_request(request_, headers);
 }
 
-void Exchange::note_choice(const routing::Choice& choice) {
+void Exchange::note_choice(const routing::Selection& selection) {
     using metrics::Total;
     metrics::Metrics& metrics = context_.metrics;
-    const bool to_holder = choice.tier == routing::Tier::holder;
-    metrics.add(Total::choices, routing::name_of(choice.tier));
-    if (demand_.prompt.shared_tokens > 0)
+    const bool to_holder = selection.tier == routing::Tier::cache_holder;
+    metrics.add(Total::choices, routing::name_of(selection.tier));
+    if (routing_request_.prompt.shared_tokens > 0)
         metrics.add(Total::shared_tokens, to_holder ? "holder" : "other", {},
-                    static_cast<double>(demand_.prompt.shared_tokens));
+                    static_cast<double>(routing_request_.prompt.shared_tokens));
     const auto note = [&](const char* reason, std::size_t workers) {
         if (workers > 0) metrics.add(Total::passed_over, reason, {}, static_cast<double>(workers));
     };
-    note("full", choice.passed_over.full);
-    note("resting", choice.passed_over.resting);
-    note("cold", choice.passed_over.cold);
-    if (choice.worker->reading)
-        metrics.observe(metrics::Duration::reading_age, steady_now() - choice.worker->reading->as_of);
+    note("full", selection.skipped.saturated);
+    note("resting", selection.skipped.ejected);
+    note("cold", selection.skipped.warming);
+    if (selection.worker->load_report)
+        metrics.observe(metrics::Duration::reading_age, steady_now() - selection.worker->load_report->as_of);
 }
 
 void Exchange::note_first_event() {
@@ -193,20 +195,20 @@
     sent_at_.reset();
 }
 
-asio::awaitable<Exchange::AttemptEnd> Exchange::attempt(const routing::Choice& choice) {
-    routing::Worker& chosen = *choice.worker;
-    note_choice(choice);
-    tier_ = choice.tier;
-    tokens_to_read_ = choice.tokens_to_read;
-    nothing_waits_ = choice.nothing_waits;
+asio::awaitable<Exchange::AttemptEnd> Exchange::attempt(const routing::Selection& selection) {
+    routing::Worker& chosen = *selection.worker;
+    note_choice(selection);
+    tier_ = selection.tier;
+    tokens_to_read_ = selection.tokens_to_read;
+    nothing_waits_ = selection.nothing_waits;
     if (service_->has_engine) context_.prefill_costs[service_->name].note_dispatch(tokens_to_read_);
     const std::string id = chosen.instance.id, address = chosen.instance.address;
     const std::size_t shares = std::max<std::size_t>(1, context_.schedulers);
     const std::size_t most_open = std::max<std::size_t>(4, service_->max_connections * 3 / 4 / shares);
     // Counted before anything is awaited, so that requests of the same moment see each other.
-    chosen.note_dispatch(steady_now(), choice.step);
+    chosen.note_dispatch(steady_now(), selection.step);
     ++chosen.in_flight;
-    if (steady_now() < chosen.cold_until) context_.cold.note_send(steady_now(), id);
+    if (steady_now() < chosen.warming_until) context_.cold.note_send(steady_now(), id);
     const auto outgoing = std::make_shared<OutgoingRequest>();
     outgoing->bytes = request_for(chosen);
 
@@ -235,7 +237,7 @@
 
     context_.metrics.add(metrics::Total::attempts, name_of(end));
     if (end == AttemptEnd::broken || end == AttemptEnd::broken_midway) may_have_run_ = true;
-    demand_.tried.insert(id);
+    routing_request_.tried.insert(id);
     const auto found = context_.workers.find(id); // it may have left the list meanwhile
     if (found == context_.workers.end()) co_return end;
     routing::Worker& worker = found->second;
@@ -251,7 +253,7 @@
         break;
     case AttemptEnd::misdirected:
         ++context_.counters.not_executed;
-        worker.gone = true;
+        worker.replaced = true;
         break;
     case AttemptEnd::unreachable:
         ++context_.counters.unreachable;
--- a/src/system/data/exchange.h
+++ b/src/system/data/exchange.h
@@ -34,8 +34,9 @@
 
 class Exchange {
   public:
-    Exchange(Context& context, beast::tcp_stream& client, const ClientRequest& request, SnapshotPtr in_force,
-             const configuration::Route& route, routing::Time arrived);
+    Exchange(Context& context, beast::tcp_stream& client, const ClientRequest& request,
+             ActiveConfigurationPtr active_configuration, const configuration::Route& route,
+             routing::Time arrived);
 
     ~Exchange() { disarm(); }
     Exchange(const Exchange&) = delete;
@@ -69,8 +70,8 @@
     using Parser = http::response_parser<http::buffer_body>;
 
     void change_state(ExchangeState next);
-    asio::awaitable<AttemptEnd> attempt(const routing::Choice& choice);
-    void note_choice(const routing::Choice& choice);
+    asio::awaitable<AttemptEnd> attempt(const routing::Selection& selection);
+    void note_choice(const routing::Selection& selection);
     void note_first_event();
     static const char* name_of(AttemptEnd end);
     asio::awaitable<AttemptEnd> send_and_converse(const WorkerConnectionPtr& connection,
@@ -100,14 +101,14 @@
     Context& context_;
     beast::tcp_stream& client_;
     const ClientRequest& request_;
-    SnapshotPtr in_force_;
+    ActiveConfigurationPtr active_configuration_;
     const configuration::Route& route_;
     const configuration::Service* service_ = nullptr;
     routing::Time arrived_;
     routing::Time deadline_;
     ExchangeState state_ = ExchangeState::choosing;
     bool keep_alive_;
-    routing::Demand demand_;
+    routing::RoutingRequest routing_request_;
     std::string attempt_id_;
     unsigned sends_ = 0;
     routing::Tier tier_ = routing::Tier::elsewhere; // of the attempt under way
--- a/src/system/data/front.cpp
+++ b/src/system/data/front.cpp
@@ -55,8 +55,8 @@
 
     // Reads and answers a request. False when the connection is at its end.
     asio::awaitable<bool> serve_one() {
-        const SnapshotPtr in_force = context().in_force;
-        const configuration::Limits& limits = in_force->configuration.limits;
+        const ActiveConfigurationPtr active_configuration = context().active_configuration;
+        const configuration::Limits& limits = active_configuration->configuration.limits;
         http::request_parser<http::string_body> parser;
         parser.header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
         parser.body_limit(limits.max_body_bytes);
@@ -79,10 +79,12 @@
 
     asio::awaitable<bool> answer(const ClientRequest& request) {
         const routing::Time arrived = steady_now();
-        const SnapshotPtr in_force = context().in_force; // as of the whole request
+        const ActiveConfigurationPtr active_configuration =
+            context().active_configuration; // as of the whole request
         const std::string target = text(request.target());
         const std::string path = target.substr(0, target.find('?'));
-        const configuration::Route* route = in_force->routes.find(text(request[http::field::host]), path);
+        const configuration::Route* route =
+            active_configuration->routes.find(text(request[http::field::host]), path);
         // Errors are named before they are awaited with: GCC 12 destroys such temporaries twice (its bug
         // 99576).
         if (route == nullptr) {
@@ -94,7 +96,7 @@
             co_return co_await refuse(request, error);
         }
         ++shared_->under_way;
-        Exchange exchange(context(), stream_, request, in_force, *route, arrived);
+        Exchange exchange(context(), stream_, request, active_configuration, *route, arrived);
         watch_client(exchange);
         co_await exchange.run();
         --shared_->under_way;
--- a/src/system/data/load_report_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -52,15 +52,16 @@
 bool LoadReportExchange::has_readings() const {
     if (context_.workers.empty()) return false;
     return std::ranges::any_of(context_.workers,
-                               [](const auto& item) { return item.second.reading.has_value(); });
+                               [](const auto& item) { return item.second.load_report.has_value(); });
 }
 
 void LoadReportExchange::tick() {
     ++ticks_;
-    if (context_.in_force) {
+    if (context_.active_configuration) {
         const bool starting = !has_readings();
         if (starting || ticks_ % ticks_between_arrangements == 0)
-            for (const configuration::Service& service : context_.in_force->configuration.services)
+            for (const configuration::Service& service :
+                 context_.active_configuration->configuration.services)
                 arrange(service.name);
         probe_due();
         if (ticks_ % ticks_between_publications == 0) publish(Scope::all);
@@ -182,7 +183,7 @@
         }
         if (prober.client->busy() || now < prober.due) continue;
         const configuration::Service* service =
-            context_.in_force->configuration.find_service(worker.instance.service);
+            context_.active_configuration->configuration.find_service(worker.instance.service);
         if (service == nullptr) continue;
         // Only model workers report their load; of others no more is asked than whether they answer at all.
         prober.due = now + (service->has_engine ? probe_period : health_period);
@@ -201,7 +202,8 @@
     routing::LoadReport reading;
     reading.as_of = steady_now() - report_lag;
     bool good = false;
-    const auto* service = context_.in_force->configuration.find_service(worker->second.instance.service);
+    const auto* service =
+        context_.active_configuration->configuration.find_service(worker->second.instance.service);
     if (service != nullptr && !service->has_engine) {
         // An answer of any kind: what it says may be false, and being full is no fault.
         good = response != nullptr;
--- a/src/system/load_reports/load_report_delta.cpp
+++ b/src/system/load_reports/load_report_delta.cpp
@@ -64,8 +64,8 @@
     std::erase_if(told_, [&](const auto& item) { return !workers.contains(item.first); });
     std::optional<Time> oldest; // of those whose readings are as good as told
     for (const auto& [id, worker] : workers) {
-        if (!worker->reading) continue;
-        const LoadReport& fresh = *worker->reading;
+        if (!worker->load_report) continue;
+        const LoadReport& fresh = *worker->load_report;
         const auto told = told_.find(id);
         if (told != told_.end() && !differs_materially(told->second, fresh, worker->instance.capacity)) {
             told->second.as_of = fresh.as_of;
--- a/src/system/routing/selector.cpp
+++ b/src/system/routing/selector.cpp
@@ -26,32 +26,33 @@
 constexpr std::uint64_t far_holder_tokens = 4096;
 
 // What a request takes of a worker: a place or, where that is more, memory for its tokens.
-double share_of(const Demand& demand, const Worker& worker) {
+double share_of(const RoutingRequest& request, const Worker& worker) {
     const double place = 1 / static_cast<double>(std::max<std::size_t>(1, worker.instance.capacity));
-    if (!demand.service->has_engine || demand.service->cache_tokens == 0) return place;
-    return std::max(place, static_cast<double>(demand.prompt.tokens) /
-                               static_cast<double>(demand.service->cache_tokens));
+    if (!request.service->has_engine || request.service->cache_tokens == 0) return place;
+    return std::max(place, static_cast<double>(request.prompt.tokens) /
+                               static_cast<double>(request.service->cache_tokens));
 }
 
 // Prompt tokens that a worker of the tier is expected to read: the holder has the shared ones.
 std::uint64_t tokens_to_read(const Prompt& prompt, Tier tier) {
-    const std::uint64_t held = tier == Tier::holder ? prompt.shared_tokens : 0;
+    const std::uint64_t held = tier == Tier::cache_holder ? prompt.shared_tokens : 0;
     return prompt.input_tokens - std::min(prompt.input_tokens, held);
 }
 
 // L: the share of the places or the memory taken or, where that is more, the share of the time in which the
 // answer is to begin that passes before the prompts that wait at the worker are read.
-double load_of(const Demand& demand, const Worker& worker) {
-    const auto target = static_cast<double>(demand.route->target.count());
-    if (demand.prefill == nullptr || !worker.reading || target <= 0) return worker.load();
-    const double wait_ms = static_cast<double>(worker.reading->queued) * demand.prefill->mean_milliseconds();
+double load_of(const RoutingRequest& request, const Worker& worker) {
+    const auto target = static_cast<double>(request.route->target.count());
+    if (request.prefill == nullptr || !worker.load_report || target <= 0) return worker.load();
+    const double wait_ms =
+        static_cast<double>(worker.load_report->queued) * request.prefill->mean_milliseconds();
     return std::max(worker.load(), std::min(most_waiting, wait_ms / target));
 }
 
 // The increment of a tier. The own zone is preferred where nobody holds parts of the prompt.
 double increment(Tier tier, bool has_holder) {
     switch (tier) {
-    case Tier::holder:
+    case Tier::cache_holder:
         return preferred;
     case Tier::zone:
         return has_holder ? without_parts : preferred;
@@ -67,7 +68,7 @@
 
 const char* name_of(Tier tier) {
     switch (tier) {
-    case Tier::holder:
+    case Tier::cache_holder:
         return "holder";
     case Tier::zone:
         return "zone";
@@ -112,13 +113,14 @@
     return out;
 }
 
-bool Selector::eligible(const Worker& worker, const Demand& demand, const Bounds& bounds) const {
+bool Selector::eligible(const Worker& worker, const RoutingRequest& request,
+                        const SelectionLimits& bounds) const {
     const discovery::Instance& instance = worker.instance;
-    if (instance.service != demand.service->name) return false;
+    if (instance.service != request.service->name) return false;
     if (instance.state != discovery::InstanceState::in_service) return false;
     if (bounds.evacuated != nullptr && bounds.evacuated->contains(instance.zone)) return false;
-    if (worker.gone || demand.tried.contains(instance.id)) return false;
-    const auto& homes = demand.route->home_regions;
+    if (worker.replaced || request.tried.contains(instance.id)) return false;
+    const auto& homes = request.route->home_regions;
     return homes.empty() || std::ranges::count(homes, place_.region_of(instance.zone)) > 0;
 }
 
@@ -144,56 +146,56 @@
 
 // Where none is near, all regions are as good as the next one.
 Tier Selector::tier_of(const Worker& worker, const std::string& holder, bool any_near) const {
-    if (!holder.empty() && worker.instance.id == holder) return Tier::holder;
+    if (!holder.empty() && worker.instance.id == holder) return Tier::cache_holder;
     if (!near(worker)) return any_near ? Tier::elsewhere : Tier::region;
     return worker.instance.zone == place_.zone ? Tier::zone : Tier::region;
 }
 
-Choice Selector::choose(Time now, Workers& workers, const Demand& demand, const Bounds& bounds,
-                        budget::ColdBudget& cold) {
+Selection Selector::choose(Time now, Workers& workers, const RoutingRequest& request,
+                           const SelectionLimits& bounds, budget::ColdBudget& cold) {
     std::vector<Worker*> able;
     for (auto& [id, worker] : workers)
-        if (eligible(worker, demand, bounds)) able.push_back(&worker);
+        if (eligible(worker, request, bounds)) able.push_back(&worker);
     const bool any_near = std::ranges::any_of(able, [this](const Worker* worker) { return near(*worker); });
-    const std::string holder = holder_of(able, demand.prompt, any_near);
+    const std::string holder = holder_of(able, request.prompt, any_near);
 
-    Choice best;
-    PassedOver passed_over;
+    Selection best;
+    SkippedWorkers skipped;
     double best_score = std::numeric_limits<double>::infinity();
     std::size_t ties = 0;
     // In health and not full first; where there is none, whoever is left.
     for (const bool anyone : {false, true}) {
         for (Worker* worker : able) {
-            if (!anyone && worker->suspect(now)) {
-                ++passed_over.resting;
+            if (!anyone && worker->ejected(now)) {
+                ++skipped.ejected;
                 continue;
             }
-            if (!anyone && now < worker->full_until) {
-                ++passed_over.full;
+            if (!anyone && now < worker->saturated_until) {
+                ++skipped.saturated;
                 continue;
             }
             const std::string& id = worker->instance.id;
-            const double rate = demand.service->cold_rate_per_s;
-            const bool is_cold = now < worker->cold_until && rate > 0;
+            const double rate = request.service->cold_rate_per_s;
+            const bool is_cold = now < worker->warming_until && rate > 0;
             if (is_cold && !cold.allows(now, id, rate, bounds.schedulers, bounds.cold_rank(id))) {
-                ++passed_over.cold;
+                ++skipped.warming;
                 continue;
             }
             const Tier tier = tier_of(*worker, holder, any_near);
             const double step = increment(tier, !holder.empty());
-            const double total = policy::total(load_of(demand, *worker) + worker->degradation(), step);
+            const double total = policy::total(load_of(request, *worker) + worker->degradation(), step);
             if (total > best_score) continue;
             ties = total < best_score ? 1 : ties + 1;
             if (ties > 1 && random_() % ties != 0) continue;
             best_score = total;
             best = {worker,
-                    step * steps_per_increment * share_of(demand, *worker),
+                    step * steps_per_increment * share_of(request, *worker),
                     tier,
-                    tokens_to_read(demand.prompt, tier),
-                    worker->reading && worker->reading->queued == 0 && worker->dispatches.empty(),
+                    tokens_to_read(request.prompt, tier),
+                    worker->load_report && worker->load_report->queued == 0 && worker->dispatches.empty(),
                     {}};
         }
-        best.passed_over = passed_over;
+        best.skipped = skipped;
         if (best.worker != nullptr) return best;
     }
     return best;
--- a/src/system/routing/selector.h
+++ b/src/system/routing/selector.h
@@ -36,7 +36,7 @@
 };
 
 // What is asked for.
-struct Demand {
+struct RoutingRequest {
     const configuration::Route* route = nullptr;
     const configuration::Service* service = nullptr;
     Prompt prompt;
@@ -44,8 +44,8 @@
     std::set<std::string> tried;          // workers that had this request or could not be reached
 };
 
-// What else bounds the choice.
-struct Bounds {
+// What else bounds the selection.
+struct SelectionLimits {
     const std::set<std::string>* evacuated = nullptr;
     std::size_t schedulers = 1;
     std::function<std::size_t(const std::string&)> cold_rank; // this scheduler's place in a worker's order
@@ -54,23 +54,23 @@
 using Workers = std::map<std::string, Worker>; // by instance id
 
 // Why a worker is near or far for a request: the order of its increments.
-enum class Tier { holder, zone, region, elsewhere };
+enum class Tier { cache_holder, zone, region, elsewhere };
 const char* name_of(Tier tier);
 
 // Workers that a choice did not consider though they may have the request.
-struct PassedOver {
-    std::size_t full = 0;    // turned a request away a moment ago
-    std::size_t resting = 0; // failed here, or are silent
-    std::size_t cold = 0;    // have had their share
+struct SkippedWorkers {
+    std::size_t saturated = 0; // turned a request away a moment ago
+    std::size_t ejected = 0;   // failed here, or are silent
+    std::size_t warming = 0;   // have had their share
 };
 
-struct Choice {
+struct Selection {
     Worker* worker = nullptr; // null: none may have it
     double step = 0;          // what the dispatch adds to X
     Tier tier = Tier::elsewhere;
     std::uint64_t tokens_to_read = 0; // as far as the worker is not expected to hold them
     bool nothing_waits = false;       // at the worker, as far as is known
-    PassedOver passed_over;
+    SkippedWorkers skipped;
 };
 
 // Why nobody was chosen, for the answer.
@@ -78,14 +78,14 @@
   public:
     Selector(Place place, std::uint64_t seed) : place_(std::move(place)), random_(seed) {}
 
-    Choice choose(Time now, Workers& workers, const Demand& demand, const Bounds& bounds,
-                  budget::ColdBudget& cold);
+    Selection choose(Time now, Workers& workers, const RoutingRequest& request, const SelectionLimits& bounds,
+                     budget::ColdBudget& cold);
     // The service of a route by its weights.
     const std::string& pick_service(const configuration::Route& route);
     const Place& place() const { return place_; }
 
   private:
-    bool eligible(const Worker& worker, const Demand& demand, const Bounds& bounds) const;
+    bool eligible(const Worker& worker, const RoutingRequest& request, const SelectionLimits& bounds) const;
     bool near(const Worker& worker) const { return place_.region_of(worker.instance.zone) == place_.region; }
     Tier tier_of(const Worker& worker, const std::string& holder, bool any_near) const;
     std::string holder_of(const std::vector<Worker*>& able, const Prompt& prompt, bool any_near) const;
--- a/src/system/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -17,11 +17,11 @@
 double Worker::load() const {
     const auto capacity = static_cast<double>(std::max<std::size_t>(1, instance.capacity));
     const double own = static_cast<double>(in_flight) / capacity;
-    if (!reading) return own;
-    double out = static_cast<double>(reading->active + reading->queued) / capacity;
-    if (reading->cache_total > 0)
-        out = std::max(out,
-                       static_cast<double>(reading->cache_used) / static_cast<double>(reading->cache_total));
+    if (!load_report) return own;
+    double out = static_cast<double>(load_report->active + load_report->queued) / capacity;
+    if (load_report->cache_total > 0)
+        out = std::max(out, static_cast<double>(load_report->cache_used) /
+                                static_cast<double>(load_report->cache_total));
     return std::max(out, own);
 }
 
@@ -33,8 +33,8 @@
 }
 
 void Worker::take(const LoadReport& fresh) {
-    if (reading && fresh.as_of <= reading->as_of) return;
-    reading = fresh;
+    if (load_report && fresh.as_of <= load_report->as_of) return;
+    load_report = fresh;
     while (!dispatches.empty() && dispatches.front().at <= fresh.as_of)
         dispatches.pop_front();
 }
@@ -47,15 +47,15 @@
 
 void Worker::note_success() {
     failures = 0;
-    suspect_until = Time{-1};
+    ejected_until = Time{-1};
 }
 
 void Worker::note_failure(Time now) {
     const Time rest = std::min(longest_rest, first_rest * (1 << std::min(failures, 3)));
     ++failures;
-    suspect_until = now + rest;
+    ejected_until = now + rest;
 }
 
-void Worker::note_full(Time now) { full_until = now + full_rest; }
+void Worker::note_full(Time now) { saturated_until = now + full_rest; }
 
 } // namespace willowrill::routing
--- a/src/system/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -30,14 +30,14 @@
 
 struct Worker {
     discovery::Instance instance;
-    Time cold_until{-1};
-    std::optional<LoadReport> reading;
-    std::deque<Dispatch> dispatches; // not shown by the reading yet; their steps are X
+    Time warming_until{-1};
+    std::optional<LoadReport> load_report;
+    std::deque<Dispatch> dispatches; // not shown by the report yet; their steps are X
     std::size_t in_flight = 0;       // of this scheduler's requests
-    Time suspect_until{-1};          // failed to answer this scheduler
+    Time ejected_until{-1};          // failed to answer this scheduler
     int failures = 0;                // in a row
-    Time full_until{-1};             // turned a request away
-    bool gone = false; // another instance answers at its address: it never comes back under this id
+    Time saturated_until{-1};        // turned a request away
+    bool replaced = false; // another instance answers at its address: it never comes back under this id
 
     double load() const;
     double degradation() const;
@@ -47,7 +47,7 @@
     void note_success();
     void note_failure(Time now);
     void note_full(Time now);
-    bool suspect(Time now) const { return now < suspect_until || (reading && !reading->answered); }
+    bool ejected(Time now) const { return now < ejected_until || (load_report && !load_report->answered); }
 };
 
 } // namespace willowrill::routing
--- a/tests/system/data/exchange_test.cpp
+++ b/tests/system/data/exchange_test.cpp
@@ -38,7 +38,7 @@
         context.emplace(loop, settings, 7);
         auto parsed = configuration::parse(configuration_text(route_class, resumable, attempts, timeout_ms));
         cr_assert(static_cast<bool>(parsed), "%s", parsed ? "" : parsed.error().detail.c_str());
-        context->in_force = std::make_shared<const Snapshot>(
+        context->active_configuration = std::make_shared<const ActiveConfiguration>(
             replication::Position{1, 1}, std::move(parsed.value()), std::set<std::string>{});
         add_worker("w1", first, 0);
         add_worker("w2", second, 20);
@@ -58,10 +58,10 @@
         request.set("Time-Remaining", "5000");
         request.body() = std::string(body_bytes, 'b');
         request.prepare_payload();
-        const SnapshotPtr in_force = context->in_force;
-        const configuration::Route* route = in_force->routes.find("h.example", "/a/x");
+        const ActiveConfigurationPtr active_configuration = context->active_configuration;
+        const configuration::Route* route = active_configuration->routes.find("h.example", "/a/x");
         cr_assert_not_null(route);
-        Exchange exchange(*context, *client, request, in_force, *route, steady_now());
+        Exchange exchange(*context, *client, request, active_configuration, *route, steady_now());
         bool done = false;
         asio::co_spawn(loop, exchange.run(), [&](std::exception_ptr failure) {
             cr_assert(!failure);
@@ -76,7 +76,7 @@
         }
         reusable = exchange.reusable();
         for (auto& [id_of, worker] : context->workers)
-            worker.suspect_until = worker.full_until = routing::Time(-1);
+            worker.ejected_until = worker.saturated_until = routing::Time(-1);
         return std::exchange(got, {}) + available();
     }
 
@@ -94,7 +94,7 @@
         added.instance.address = worker.address();
         added.instance.zone = "z";
         added.instance.capacity = 64;
-        added.reading = routing::LoadReport{steady_now(), active, 0, 0, 0, true};
+        added.load_report = routing::LoadReport{steady_now(), active, 0, 0, 0, true};
     }
 
     std::string available() {
--- a/tests/system/load_reports/load_report_delta_test.cpp
+++ b/tests/system/load_reports/load_report_delta_test.cpp
@@ -57,7 +57,7 @@
     for (int at = 0; at < 60'000; at += 200) {
         for (auto& [id, worker] : home) {
             if (random() % 2 == 0) continue;
-            const std::size_t before = worker.reading ? worker.reading->active : 20;
+            const std::size_t before = worker.load_report ? worker.load_report->active : 20;
             worker.take(reading(at, std::min<std::size_t>(capacity, before + random() % 3)));
             if (random() % 8 == 0) worker.take(reading(at + 1, random() % capacity));
         }
@@ -66,14 +66,14 @@
         listener.take(Time(at), message, near);
         if (at > 20'000) late_listener.take(Time(at), message, later);
         for (const auto& [id, worker] : home) {
-            if (!worker.reading) continue;
-            const LoadReport& truth = *worker.reading;
-            cr_assert(near.at(id).reading.has_value());
-            const LoadReport& known = *near.at(id).reading;
+            if (!worker.load_report) continue;
+            const LoadReport& truth = *worker.load_report;
+            cr_assert(near.at(id).load_report.has_value());
+            const LoadReport& known = *near.at(id).load_report;
             cr_assert_not(load_reports::differs_materially(known, truth, capacity), "%s at %d", id.c_str(),
                           at);
             cr_assert(known.as_of <= truth.as_of || truth.as_of < Time(at) - Time(1000));
-            if (at > 20'000) cr_assert_eq(later.at(id).reading->active, known.active);
+            if (at > 20'000) cr_assert_eq(later.at(id).load_report->active, known.active);
         }
     }
 }
@@ -105,14 +105,14 @@
             if (id != "i-1" || at == 0) worker.take(reading(at, 5));
         listener.take(Time(at), teller.change(Time(at), "s", views(home)), near);
     }
-    cr_assert(near.at("i-0").reading->as_of >= Time(3800));
-    cr_assert(near.at("i-1").reading->as_of <= Time(1000));
-    LoadReport dead = *home.at("i-1").reading;
+    cr_assert(near.at("i-0").load_report->as_of >= Time(3800));
+    cr_assert(near.at("i-1").load_report->as_of <= Time(1000));
+    LoadReport dead = *home.at("i-1").load_report;
     dead.as_of = Time(4000);
     dead.answered = false;
     home.at("i-1").take(dead);
     listener.take(Time(4000), teller.change(Time(4000), "s", views(home)), near);
-    cr_assert_not(near.at("i-1").reading->answered);
+    cr_assert_not(near.at("i-1").load_report->answered);
 }
 
 // A reading may come before the list that names its worker; and one of a worker that is gone is forgotten.
@@ -127,13 +127,13 @@
     for (auto& [id, worker] : home)
         worker.take(reading(300, 5));
     listener.take(Time(300), teller.change(Time(300), "s", views(home)), near);
-    cr_assert(near.at("i-1").reading && near.at("i-1").reading->as_of == Time(300));
+    cr_assert(near.at("i-1").load_report && near.at("i-1").load_report->as_of == Time(300));
     home.erase("i-1");
     const json last = teller.change(Time(500), "s", views(home));
     cr_assert(last.at("gone") == json::array({"i-1"}));
-    near.at("i-1").reading.reset();
+    near.at("i-1").load_report.reset();
     listener.take(Time(500), last, near);
-    cr_assert_not(near.at("i-1").reading.has_value());
+    cr_assert_not(near.at("i-1").load_report.has_value());
 }
 
 Test(readings, of_the_wrong_shape_change_nothing) {
@@ -149,5 +149,5 @@
         }
         cr_assert(thrown, "%s", bad);
     }
-    cr_assert_not(near.at("i-0").reading.has_value());
+    cr_assert_not(near.at("i-0").load_report.has_value());
 }
--- a/tests/system/routing/routing_test.cpp
+++ b/tests/system/routing/routing_test.cpp
@@ -21,8 +21,8 @@
         service.has_engine = true;
         service.cache_tokens = 100000;
         route.distribution = {{"s", 1}};
-        demand.route = &route;
-        demand.service = &service;
+        request.route = &route;
+        request.service = &service;
         bounds.evacuated = &evacuated;
         bounds.cold_rank = [](const std::string&) { return std::size_t{0}; };
     }
@@ -35,8 +35,8 @@
         return worker;
     }
     std::string choose(int at_ms = 1000) {
-        const Choice choice = selector.choose(Time(at_ms), workers, demand, bounds, cold);
-        return choice.worker == nullptr ? "" : choice.worker->instance.id;
+        const Selection selection = selector.choose(Time(at_ms), workers, request, bounds, cold);
+        return selection.worker == nullptr ? "" : selection.worker->instance.id;
     }
 
     Selector selector{
@@ -45,8 +45,8 @@
     configuration::Route route;
     configuration::Service service;
     std::set<std::string> evacuated;
-    Demand demand;
-    Bounds bounds;
+    RoutingRequest request;
+    SelectionLimits bounds;
     budget::ColdBudget cold{{1.5, 5}};
 };
 
@@ -80,13 +80,13 @@
 Test(plud, prompts_that_wait_to_be_read_count_as_the_time_they_take) {
     Scene scene;
     scene.route.target = std::chrono::milliseconds(1000);
-    scene.demand.prompt.input_tokens = 1000;
+    scene.request.prompt.input_tokens = 1000;
     LoadReport waiting = reading(900, 0);
     waiting.queued = 2;
     scene.add("a", "north-a").take(waiting);
     scene.add("b", "north-a").take(reading(900, 3));
     PrefillCost prefill;
-    scene.demand.prefill = &prefill;
+    scene.request.prefill = &prefill;
     expect_text(scene.choose(), "a", "nothing is learned yet");
     for (int i = 0; i < 20; ++i) {
         prefill.note_dispatch(1000);
@@ -101,16 +101,16 @@
 Test(plud, a_holder_reads_less_and_is_left_only_for_a_much_shorter_wait) {
     Scene scene;
     scene.route.target = std::chrono::milliseconds(1000);
-    scene.demand.prompt = read_prompt("ab:3000,cd:1000", "4000,10");
-    cr_assert_eq(scene.demand.prompt.input_tokens, 4000U);
+    scene.request.prompt = read_prompt("ab:3000,cd:1000", "4000,10");
+    cr_assert_eq(scene.request.prompt.input_tokens, 4000U);
     PrefillCost prefill;
     for (int i = 0; i < 20; ++i)
         prefill.note_answer(std::chrono::milliseconds(100), 1000);
-    scene.demand.prefill = &prefill;
+    scene.request.prefill = &prefill;
     scene.add("a", "north-a").take(reading(900, 0));
-    const Choice holder =
-        scene.selector.choose(Time(1000), scene.workers, scene.demand, scene.bounds, scene.cold);
-    cr_assert(holder.tier == Tier::holder);
+    const Selection holder =
+        scene.selector.choose(Time(1000), scene.workers, scene.request, scene.bounds, scene.cold);
+    cr_assert(holder.tier == Tier::cache_holder);
     cr_assert_eq(holder.tokens_to_read, 1000U);
     cr_assert(holder.nothing_waits);
     // 200 ms of waiting at the holder, then 600, against none at another.
@@ -127,9 +127,9 @@
     scene.workers.at(held).take(waiting);
     expect_other_text(scene.choose(), held);
     scene.workers.erase("b");
-    scene.demand.prompt.shared_key.clear();
-    const Choice zone =
-        scene.selector.choose(Time(1000), scene.workers, scene.demand, scene.bounds, scene.cold);
+    scene.request.prompt.shared_key.clear();
+    const Selection zone =
+        scene.selector.choose(Time(1000), scene.workers, scene.request, scene.bounds, scene.cold);
     cr_assert_eq(zone.tokens_to_read, 4000U);
 }
 
@@ -152,15 +152,16 @@
     Selector south{{"south-a", "south", {{"north-a", "north"}, {"south-a", "south"}}}, 2};
     std::set<std::string> holders;
     for (int key = 0; key < 40; ++key) {
-        scene.demand.prompt = read_prompt(fmt::format("{:x}:500,cd:1000", key), "1500,10");
-        const Choice there = south.choose(Time(1000), scene.workers, scene.demand, scene.bounds, scene.cold);
-        cr_assert(there.tier == Tier::holder);
+        scene.request.prompt = read_prompt(fmt::format("{:x}:500,cd:1000", key), "1500,10");
+        const Selection there =
+            south.choose(Time(1000), scene.workers, scene.request, scene.bounds, scene.cold);
+        cr_assert(there.tier == Tier::cache_holder);
         expect_text(scene.choose(), there.worker->instance.id);
         holders.insert(there.worker->instance.id);
     }
     cr_assert_eq(holders.size(), 4U);
     // One that is loaded is left for others that are as far.
-    scene.demand.prompt = read_prompt("7:500,cd:1000", "1500,10");
+    scene.request.prompt = read_prompt("7:500,cd:1000", "1500,10");
     const std::string holder = scene.choose();
     scene.workers.at(holder).take(reading(950, 8));
     expect_other_text(scene.choose(), holder);
@@ -169,7 +170,7 @@
 // One that another instance answers for never comes back under its id.
 Test(plud, an_instance_that_is_gone_is_not_chosen_again) {
     Scene scene;
-    scene.add("a", "north-a").gone = true;
+    scene.add("a", "north-a").replaced = true;
     expect_text(scene.choose(), "");
     scene.add("b", "south-a");
     expect_text(scene.choose(), "b");
@@ -193,7 +194,7 @@
     Worker& worker = scene.add("a", "north-a");
     worker.take(reading(900, 5));
     worker.take(reading(800, 1));
-    cr_assert_eq(worker.reading->active, 5U);
+    cr_assert_eq(worker.load_report->active, 5U);
 }
 
 Test(plud, tiers_rank_by_region_and_by_who_holds_the_prompt) {
@@ -209,11 +210,11 @@
     Scene scene;
     for (const char* id : {"a", "b", "c", "d"})
         scene.add(id, "north-a").take(reading(900, 0));
-    scene.demand.prompt = read_prompt("0a:100,0b:50,0c:7", "157,20");
+    scene.request.prompt = read_prompt("0a:100,0b:50,0c:7", "157,20");
     const std::string holder = scene.choose();
     for (int i = 0; i < 20; ++i)
         expect_text(scene.choose().c_str(), holder.c_str());
-    scene.demand.prompt = read_prompt("0a:100,0b:50,0d:9", "159,20"); // the last part is its own
+    scene.request.prompt = read_prompt("0a:100,0b:50,0d:9", "159,20"); // the last part is its own
     expect_text(scene.choose().c_str(), holder.c_str());
     scene.workers[holder].take(reading(950, 3));
     expect_other_text(scene.choose().c_str(), holder.c_str());
@@ -225,8 +226,9 @@
     for (int i = 0; i < 6; ++i)
         north.add("w" + std::to_string(i), i % 2 == 0 ? "north-a" : "south-a").take(reading(900, 0));
     for (int key = 0; key < 30; ++key) {
-        north.demand.prompt = read_prompt("k" + std::to_string(key) + ":5000,x:1", "5001,10");
-        const Choice there = south.choose(Time(1000), north.workers, north.demand, north.bounds, north.cold);
+        north.request.prompt = read_prompt("k" + std::to_string(key) + ":5000,x:1", "5001,10");
+        const Selection there =
+            south.choose(Time(1000), north.workers, north.request, north.bounds, north.cold);
         expect_text(north.choose().c_str(), there.worker->instance.id.c_str());
     }
 }
@@ -242,7 +244,7 @@
             worker.take(reading(900, random() % 15));
             if (random() % 4 == 0) worker.note_dispatch(Time(950), 0.1 * static_cast<double>(random() % 5));
             if (random() % 5 == 0) worker.instance.state = discovery::InstanceState::draining;
-            if (random() % 5 == 0) scene.demand.tried.insert(worker.instance.id);
+            if (random() % 5 == 0) scene.request.tried.insert(worker.instance.id);
         }
         if (random() % 2 == 0) scene.route.home_regions = {"north"};
         if (random() % 4 == 0) scene.evacuated = {"north-b"};
@@ -251,10 +253,10 @@
         for (const auto& [id, worker] : scene.workers) {
             const std::string& zone = worker.instance.zone;
             if (worker.instance.state == discovery::InstanceState::draining) continue;
-            if (scene.demand.tried.contains(id) || scene.evacuated.contains(zone)) continue;
+            if (scene.request.tried.contains(id) || scene.evacuated.contains(zone)) continue;
             if (!scene.route.home_regions.empty() && zone == "south-a") continue;
             const double tier = zone == "north-a" ? 0.1 : zone == "north-b" ? 0.2 : 1.0;
-            sums[id] = static_cast<double>(worker.reading->active) / 10 + tier + worker.degradation();
+            sums[id] = static_cast<double>(worker.load_report->active) / 10 + tier + worker.degradation();
             best = std::min(best, sums[id]);
         }
         const std::string chosen = scene.choose();
@@ -274,13 +276,13 @@
     expect_other_text(scene.choose(1002).c_str(), "", "whoever is left is better than nobody");
     expect_text(scene.choose(1600).c_str(), "a", "and its rest ends");
     scene.workers["a"].note_success();
-    cr_assert_not(scene.workers["a"].suspect(Time(1001)));
+    cr_assert_not(scene.workers["a"].ejected(Time(1001)));
 }
 
 Test(eligibility, a_cold_worker_gets_its_share_alone) {
     Scene scene;
     scene.service.cold_rate_per_s = 10;
-    scene.add("cold", "north-a").cold_until = Time(5000);
+    scene.add("cold", "north-a").warming_until = Time(5000);
     scene.bounds.schedulers = 12;
     expect_text(scene.choose(1000).c_str(), "cold");
     scene.cold.note_send(Time(1000), "cold");
