--- a/tests/lab/start_test.cpp
+++ b/tests/lab/start_test.cpp
@@ -25,7 +25,8 @@
     return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery.text() +
            R"(","seed":"10000","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":{
   "balancers":1,"slot_no":0,"tick_ns":5000000,"zone":"z0","zones":["z0"],"kinds":["small"],"tenants":[],
-  "discovery":"ask","classes":[{"name":"job","effect":"read_like","aim_ns":2000000000,"hard_limit_ns":10000000000,"worth":1}],
+  "discovery":"ask",
+  "classes":[{"name":"job","effect":"read_like","aim_ns":2000000000,"hard_limit_ns":10000000000,"worth":1}],
   "family_info":{"class_kind":[-1],"class_stretch":[0],"tells_start":false,"progress_ns":0},
   "reporting":{"fields":["load_share","x0"],"via":"pull"},
   "limits":{"cancel":true,"probes":true,"second_copies":false,"retry_after":true,"max_attempts":4,
