--- a/src/common/policy/score.h
+++ b/src/common/policy/score.h
@@ -1,4 +1,4 @@
-// The score of PLUD (Priority Least Used with Degradation), docs/design.md: L + I + X. The one
+// The score of PLUD (Priority Least Used with Degradation), docs/scheduler/design.md: L + I + X. The one
 // implementation, used by the module of the present scheduler (src/rules.cpp) and by the data plane of the
 // whole system (src/routing). Pure.
 #pragma once
--- a/src/scheduler/counts/book.h
+++ b/src/scheduler/counts/book.h
@@ -1,6 +1,6 @@
 // Use counted among instances without a leader: grow-only cells by tenant, class and outcome, one set for
 // each life of an instance, which alone writes them. Merged by maximum, so that order, loss and repeats do
-// not matter. Pure: it knows no clock, no sockets and no files; docs/counts.md tells what is promised and
+// not matter. Pure: it knows no clock, no sockets and no files; docs/scheduler/counts.md tells what is promised and
 // what is assumed.
 #pragma once
 
--- a/src/scheduler/discovery_client/watch_times.h
+++ b/src/scheduler/discovery_client/watch_times.h
@@ -1,5 +1,5 @@
 // How long the standing question to discovery may be left unanswered, as a sum of all parts from the
-// settings. It knows no sockets. docs/scale.md has the formula with the figures of each deployment.
+// settings. It knows no sockets. docs/history/scale.md has the formula with the figures of each deployment.
 #pragma once
 
 #include <willowrill/dispatcher.h>
--- a/src/scheduler/dispatcher/rules.cpp
+++ b/src/scheduler/dispatcher/rules.cpp
@@ -1,5 +1,5 @@
 // The decisions of willowrill, all of them. The interface is include/willowrill/dispatcher.h;
-// docs/design.md gives the source of the mechanism and the reason for each exception.
+// docs/scheduler/design.md gives the source of the mechanism and the reason for each exception.
 //
 // Order of decision in `handle`:
 //   1. take in every event: list, arrivals, notes, outcomes with their reports (`on`)
--- /dev/null
+++ b/tests/ci/check_names_test.py
@@ -0,0 +1,69 @@
+"""What .ci/check-names finds, and what it lets pass, in a small repository."""
+import importlib.machinery
+import importlib.util
+import subprocess
+import tempfile
+import unittest
+from pathlib import Path
+
+loader = importlib.machinery.SourceFileLoader("check_names", str(Path(__file__).parents[2] / ".ci/check-names"))
+spec = importlib.util.spec_from_loader(loader.name, loader)
+check_names = importlib.util.module_from_spec(spec)
+loader.exec_module(check_names)
+
+
+class Repository(unittest.TestCase):
+    def setUp(self):
+        self.folder = tempfile.TemporaryDirectory()
+        self.root = Path(self.folder.name)
+        subprocess.run(["git", "init", "-q", str(self.root)], check=True)
+        self.write("src/system/a/a.h", "class LeaseTable { void expire_leases(); };\n")
+        self.write("tests/system/CMakeLists.txt", "add(a/a_test.cpp)\n")
+        self.write("tests/system/a/a_test.cpp", "Test(leases, one_lapses) {}\n")
+
+    def tearDown(self):
+        self.folder.cleanup()
+
+    def write(self, path, text):
+        (self.root / path).parent.mkdir(parents=True, exist_ok=True)
+        (self.root / path).write_text(text)
+
+    def problems(self, check):
+        return list(check(self.root))
+
+    def test_a_withdrawn_word_in_an_identifier_is_found_with_its_term(self):
+        self.write("src/system/a/b.cpp", "void f() {\n    take_whole(message);\n}\n")
+        self.assertEqual(self.problems(check_names.withdrawn_words),
+                         ["src/system/a/b.cpp:2: take_whole is withdrawn: apply_snapshot"])
+
+    def test_comments_and_texts_may_use_the_word(self):
+        self.write("src/system/a/b.cpp", 'auto x = "take_whole"; // take_whole\nauto y = R"({"lacks_base":1})";\n')
+        self.assertEqual(self.problems(check_names.withdrawn_words), [])
+
+    def test_a_longer_identifier_is_another_word(self):
+        self.write("src/system/a/b.cpp", "int take_wholesale;\n")
+        self.assertEqual(self.problems(check_names.withdrawn_words), [])
+
+    def test_a_page_that_cites_what_is_there_passes(self):
+        self.write("docs/page.md", "`src/system/a`, `src/system/a/a.h`, `LeaseTable::expire_leases`, `leases: one_lapses`, `x = y`\n")
+        self.assertEqual(self.problems(check_names.stale_citations), [])
+
+    def test_a_cited_name_that_is_not_there_is_found(self):
+        self.write("docs/page.md", "one\n`LeaseTable::end_leases` and `leases: none_lapses` in `src/system/b.cpp`\n")
+        self.assertEqual(self.problems(check_names.stale_citations),
+                         ["docs/page.md:2: `LeaseTable::end_leases`: nothing has that name",
+                          "docs/page.md:2: `leases: none_lapses`: nothing has that name",
+                          "docs/page.md:2: `src/system/b.cpp`: there is no such file"])
+
+    def test_accounts_of_finished_work_are_passed_over(self):
+        self.write("docs/history/page.md", "`LeaseTable::end_leases`\n")
+        self.assertEqual(self.problems(check_names.stale_citations), [])
+
+    def test_a_test_file_that_nothing_builds_is_found(self):
+        self.write("tests/system/a/c_test.cpp", "")
+        self.assertEqual(self.problems(check_names.tests_not_built),
+                         ["tests/system/a/c_test.cpp: no CMakeLists.txt builds it"])
+
+
+if __name__ == "__main__":
+    unittest.main()
