--- /dev/null
+++ b/tests/system/data/kept_connections_test.cpp
@@ -0,0 +1,24 @@
+// Which connections to workers are kept for later requests.
+#include "data/proxy_fixture.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+#include <fmt/format.h>
+
+#include <string>
+
+using namespace willowrill;
+using namespace willowrill::data;
+
+Test(proxied_request, a_second_answer_in_the_same_segment_goes_to_nobody) {
+    ProxyFixture proxy("safe", false, 1);
+    proxy.first.expect(
+        {ReadAmount::all, Reaction::respond,
+         worker_response("200 OK", id + seal, "mine") + worker_response("200 OK", id + seal, "again")});
+    cr_assert(contains(proxy.serve("0b"), "mine"));
+    const std::string next = proxy.serve("0c");
+    cr_assert(!contains(next, "again"));
+    cr_assert_eq(status_of(next), 200);
+    cr_assert_eq(proxy.first.connections, 2U, "such a connection is not kept");
+}
--- /dev/null
+++ b/tests/system/data/proxy_fixture.h
@@ -0,0 +1,151 @@
+// What the tests of proxied requests share: the real classes over loopback, between one client's connection
+// and two scripted workers, and the responses that these give.
+#pragma once
+
+#include "data/scripted_worker.h"
+#include "support/expect.h"
+
+#include "system/data/proxied_request.h"
+
+#include <criterion/criterion.h>
+#include <fmt/format.h>
+
+#include <optional>
+#include <string>
+
+namespace willowrill::data {
+
+inline std::string configuration_text(const std::string& route_class, bool resumable, int attempts,
+                                      int timeout_ms) {
+    return fmt::format(
+        R"({{"configVersion":1,"routes":[{{"name":"r","host":"h.example","pathPrefix":"/a/","routeClass":"{}",
+        "timeoutMs":{},"targetMs":40,"maxAttempts":{},"resumable":{},"gap_aim_ms":400,"service":"s"}}],
+        "services":[{{"name":"s","maxConnections":100}}]}})",
+        route_class, timeout_ms, attempts, resumable);
+}
+
+// A route of the tests.
+struct RouteKind {
+    const char* name;
+    const char* route_class;
+    bool resumable;
+    int attempts;
+    bool repeatable() const { return std::string(route_class) == "safe" || resumable; }
+};
+
+inline const RouteKind route_kinds[] = {{"safe", "safe", false, 2},
+                                        {"safe, one attempt", "safe", false, 1},
+                                        {"non-idempotent", "non_idempotent", false, 2},
+                                        {"stream", "streaming", false, 2},
+                                        {"resumable stream", "streaming", true, 2}};
+
+// What one scheduler proxies requests with, a client's connection, and two workers: the first one is asked
+// first.
+class ProxyFixture {
+  public:
+    ProxyFixture(const std::string& route_class, bool resumable, int attempts, int timeout_ms = 10000)
+        : first(loop), second(loop) {
+        settings.zone = "z";
+        settings.region = "g";
+        settings.regions = {{"z", "g"}};
+        settings.node_name = "n";
+        context.emplace(loop, settings, 7);
+        auto parsed = configuration::parse(configuration_text(route_class, resumable, attempts, timeout_ms));
+        cr_assert(static_cast<bool>(parsed), "%s", parsed ? "" : parsed.error().detail.c_str());
+        context->active_configuration = std::make_shared<const ActiveConfiguration>(
+            replication::Position{1, 1}, std::move(parsed.value()), std::set<std::string>{});
+        add_worker("w1", first, 0);
+        add_worker("w2", second, 20);
+        Tcp::acceptor acceptor(loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+        Tcp::socket proxy_end(loop);
+        proxy_end.connect(acceptor.local_endpoint());
+        client_end.emplace(acceptor.accept());
+        client.emplace(std::move(proxy_end));
+    }
+
+    // Has one request proxied; returns the bytes that the client got.
+    std::string serve(const std::string& id, std::size_t body_bytes = 10) {
+        ClientRequest request(http::verb::post, "/a/x?y=1", 11);
+        request.set(http::field::host, "h.example");
+        request.set("Attempt-Id", id);
+        request.set("Model", "m");
+        request.set("Time-Remaining", "5000");
+        request.body() = std::string(body_bytes, 'b');
+        request.prepare_payload();
+        const ActiveConfigurationPtr active_configuration = context->active_configuration;
+        const configuration::Route* route = active_configuration->routes.find("h.example", "/a/x");
+        cr_assert_not_null(route);
+        ProxiedRequest proxied(*context, *client, request, active_configuration, *route, steady_now());
+        bool done = false;
+        asio::co_spawn(loop, proxied.run(), [&](std::exception_ptr failure) {
+            cr_assert(!failure);
+            done = true;
+        });
+        while (!done) {
+            cr_assert_gt(loop.run_one_for(std::chrono::seconds(20)), 0U, "nothing happens any more");
+            if (client_has_head()) {
+                first.reset_pending();
+                second.reset_pending();
+            }
+        }
+        reusable = proxied.reusable();
+        for (auto& [id_of, worker] : context->workers)
+            worker.ejected_until = worker.saturated_until = routing::Time(-1);
+        return std::exchange(got, {}) + available();
+    }
+
+    asio::io_context loop;
+    settings::Settings settings;
+    std::optional<Context> context;
+    ScriptedWorker first, second;
+    bool reusable = false;
+
+  private:
+    void add_worker(const std::string& id, const ScriptedWorker& worker, std::size_t active) {
+        routing::Worker& added = context->workers[id];
+        added.instance.id = id;
+        added.instance.service = "s";
+        added.instance.address = worker.address();
+        added.instance.zone = "z";
+        added.instance.capacity = 64;
+        added.load_report = routing::LoadReport{steady_now(), active, 0, 0, 0, true};
+    }
+
+    std::string available() {
+        std::string out;
+        ErrorCode error;
+        while (client_end->available(error) > 0 && !error) {
+            std::string piece(65536, '\0');
+            piece.resize(client_end->read_some(asio::buffer(piece), error));
+            out += piece;
+        }
+        return out;
+    }
+
+    bool client_has_head() {
+        got += available();
+        return got.find("\r\n\r\n") != std::string::npos;
+    }
+
+    std::optional<beast::tcp_stream> client;
+    std::optional<Tcp::socket> client_end;
+    std::string got;
+};
+
+inline int status_of(const std::string& response) {
+    return response.size() < 12 ? 0 : std::stoi(response.substr(9, 3));
+}
+
+inline bool contains(const std::string& text, const std::string& part) {
+    return text.find(part) != std::string::npos;
+}
+
+inline std::string worker_response(const std::string& status, const std::string& headers,
+                                   const std::string& body = "data: x\n\n") {
+    return fmt::format("HTTP/1.1 {}\r\n{}Content-Length: {}\r\n\r\n{}", status, headers, body.size(), body);
+}
+
+inline const std::string id = "Attempt-Id: ID\r\n", other_id = "Attempt-Id: ffff\r\n",
+                         seal = "Server-Seal: seal\r\n", promise = "Not-Executed: 1\r\n";
+
+} // namespace willowrill::data
--- /dev/null
+++ b/tests/system/data/retries_test.cpp
@@ -0,0 +1,39 @@
+// Whether a request goes to a second worker after one that took nothing, was silent or broke off.
+#include "data/proxy_fixture.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+#include <fmt/format.h>
+
+#include <string>
+
+using namespace willowrill;
+using namespace willowrill::data;
+
+// Nothing could be sent, as nobody is there: it has not run, whatever its class.
+Test(proxied_request, a_worker_that_cannot_be_reached_has_run_nothing) {
+    for (const RouteKind& route : route_kinds) {
+        ProxyFixture proxy(route.route_class, route.resumable, route.attempts);
+        proxy.context->workers["w1"].instance.address = "127.0.0.1:1";
+        cr_assert_eq(status_of(proxy.serve("0b")), 200, "%s", route.name);
+        cr_assert_eq(proxy.second.requests.size(), 1U, "%s", route.name);
+    }
+}
+
+Test(proxied_request, silence_until_the_deadline_is_no_promise) {
+    ProxyFixture proxy("non_idempotent", false, 2, 150);
+    proxy.first.expect({ReadAmount::all, Reaction::stay_silent, ""});
+    cr_assert_eq(status_of(proxy.serve("0b")), 504);
+    cr_assert(proxy.second.requests.empty());
+}
+
+Test(proxied_request, an_answer_without_a_length_that_is_reset_is_not_whole) {
+    ProxyFixture proxy("non_idempotent", false, 2);
+    proxy.first.expect(
+        {ReadAmount::all, Reaction::respond_and_reset, "HTTP/1.1 200 OK\r\n" + id + seal + "\r\npart"});
+    asio::steady_timer later(proxy.loop, std::chrono::milliseconds(50));
+    later.async_wait([&](ErrorCode) { proxy.first.reset_pending(); });
+    cr_assert_eq(status_of(proxy.serve("0b")), 502);
+    cr_assert(proxy.second.requests.empty());
+}
--- /dev/null
+++ b/tests/system/data/retry_state_test.cpp
@@ -0,0 +1,173 @@
+// Whether another attempt is allowed, and what the client is told where none is: each reason by itself.
+#include "system/data/retry_state.h"
+
+#include <criterion/criterion.h>
+
+#include <initializer_list>
+
+using namespace willowrill;
+using namespace willowrill::data;
+using configuration::RouteClass;
+using errors::ErrorKind;
+using routing::Time;
+
+namespace {
+
+constexpr Time arrived{1000};
+constexpr Time timeout{500};
+constexpr Time in_time = arrived + Time(10);
+constexpr Time late = arrived + timeout - response_margin;
+
+configuration::Route route_of(RouteClass route_class, unsigned max_attempts, bool resumable = false) {
+    configuration::Route route;
+    route.route_class = route_class;
+    route.max_attempts = max_attempts;
+    route.resumable = resumable;
+    return route;
+}
+
+// A route, its retry state and a budget with room for a number of retries.
+struct Request {
+    explicit Request(const configuration::Route& its_route, double retries = 10)
+        : route(its_route), budget({0, retries, Time(10000)}) {
+        conditions.now = in_time;
+    }
+    Request(const Request&) = delete;
+    Request& operator=(const Request&) = delete;
+
+    RetryDecision decide_after(AttemptResult result) {
+        state.note_result(result);
+        return state.decide(result, conditions, budget);
+    }
+    RetryDecision send_and_decide(AttemptResult result) {
+        state.note_sent();
+        return decide_after(result);
+    }
+
+    configuration::Route route;
+    RetryState state{route, RequestDeadline(arrived, timeout)};
+    RetryConditions conditions;
+    budget::RetryBudget budget;
+};
+
+constexpr auto every_failure = {AttemptResult::not_executed, AttemptResult::misdirected,
+                                AttemptResult::unreachable, AttemptResult::broken,
+                                AttemptResult::broken_midway};
+
+} // namespace
+
+Test(retry_state, what_has_not_run_is_sent_again_whatever_its_class) {
+    for (const RouteClass route_class :
+         {RouteClass::safe, RouteClass::non_idempotent, RouteClass::streaming}) {
+        Request request(route_of(route_class, 2));
+        cr_assert(request.send_and_decide(AttemptResult::not_executed) == RetryDecision::allowed);
+        cr_assert_not(request.state.may_have_run());
+    }
+}
+
+Test(retry_state, what_may_have_run_is_sent_again_on_a_safe_route_only) {
+    Request safe(route_of(RouteClass::safe, 2));
+    cr_assert(safe.send_and_decide(AttemptResult::broken) == RetryDecision::allowed);
+    for (const RouteClass route_class : {RouteClass::non_idempotent, RouteClass::streaming}) {
+        Request request(route_of(route_class, 2));
+        cr_assert(request.send_and_decide(AttemptResult::broken) == RetryDecision::not_repeatable);
+        cr_assert(request.state.may_have_run());
+    }
+}
+
+Test(retry_state, a_resumable_stream_that_has_begun_needs_an_event_with_an_id) {
+    Request request(route_of(RouteClass::streaming, 3, true));
+    cr_assert(request.send_and_decide(AttemptResult::broken_midway) == RetryDecision::stream_not_resumable);
+    request.conditions.has_resume_position = true;
+    cr_assert(request.send_and_decide(AttemptResult::broken_midway) == RetryDecision::allowed);
+}
+
+Test(retry_state, sends_are_bounded_by_the_route) {
+    Request request(route_of(RouteClass::safe, 2));
+    cr_assert(request.send_and_decide(AttemptResult::broken) == RetryDecision::allowed);
+    cr_assert(request.send_and_decide(AttemptResult::broken) == RetryDecision::attempts_exhausted);
+}
+
+Test(retry_state, a_worker_that_cannot_be_reached_costs_neither_a_send_nor_budget) {
+    Request request(route_of(RouteClass::non_idempotent, 1), 0);
+    for (int i = 0; i < 5; ++i)
+        cr_assert(request.decide_after(AttemptResult::unreachable) == RetryDecision::allowed);
+    cr_assert(request.state.nothing_sent());
+}
+
+Test(retry_state, a_send_of_which_no_byte_went_out_does_not_count) {
+    Request request(route_of(RouteClass::non_idempotent, 1));
+    request.state.note_sent();
+    request.state.note_nothing_sent();
+    cr_assert(request.decide_after(AttemptResult::unreachable) == RetryDecision::allowed);
+    cr_assert(request.state.nothing_sent());
+}
+
+Test(retry_state, a_misdirected_send_does_not_count_but_takes_from_the_budget) {
+    Request request(route_of(RouteClass::non_idempotent, 1), 2);
+    cr_assert(request.send_and_decide(AttemptResult::misdirected) == RetryDecision::allowed);
+    cr_assert(request.state.nothing_sent());
+    while (request.send_and_decide(AttemptResult::misdirected) == RetryDecision::allowed)
+        ;
+    cr_assert(request.send_and_decide(AttemptResult::misdirected) == RetryDecision::budget_exhausted);
+}
+
+Test(retry_state, an_empty_budget_allows_no_retry) {
+    Request request(route_of(RouteClass::safe, 2), 0);
+    cr_assert(request.send_and_decide(AttemptResult::not_executed) == RetryDecision::budget_exhausted);
+}
+
+Test(retry_state, a_retry_that_is_not_allowed_takes_nothing_from_the_budget) {
+    Request request(route_of(RouteClass::non_idempotent, 2), 1);
+    budget::RetryBudget untouched({0, 1, Time(10000)});
+    cr_assert(request.send_and_decide(AttemptResult::broken) == RetryDecision::not_repeatable);
+    cr_assert_eq(request.budget.take(in_time, 1), untouched.take(in_time, 1));
+}
+
+Test(retry_state, nothing_is_sent_once_the_response_is_due) {
+    for (const AttemptResult result : every_failure) {
+        Request request(route_of(RouteClass::safe, 3));
+        request.conditions.now = late;
+        cr_assert(request.send_and_decide(result) == RetryDecision::deadline_passed);
+        Request earlier(route_of(RouteClass::safe, 3));
+        earlier.conditions.now = late - Time(1);
+        earlier.conditions.has_resume_position = true;
+        cr_assert(earlier.send_and_decide(result) == RetryDecision::allowed);
+    }
+}
+
+Test(retry_state, further_attempts_are_foreseen_while_sends_are_left) {
+    Request request(route_of(RouteClass::streaming, 2, true));
+    request.state.note_sent();
+    cr_assert(request.state.first_send());
+    cr_assert(request.state.may_repeat() && request.state.may_resume());
+    request.state.note_sent();
+    cr_assert_not(request.state.first_send());
+    cr_assert_not(request.state.may_repeat() || request.state.may_resume());
+}
+
+Test(retry_state, a_safe_route_repeats_but_does_not_resume) {
+    const Request request(route_of(RouteClass::safe, 2));
+    cr_assert(request.state.may_repeat());
+    cr_assert_not(request.state.may_resume());
+}
+
+Test(retry_state, the_final_error_says_whether_it_may_have_run) {
+    Request not_run(route_of(RouteClass::non_idempotent, 1));
+    not_run.send_and_decide(AttemptResult::not_executed);
+    cr_assert(not_run.state.final_error(in_time).kind == ErrorKind::overloaded);
+    cr_assert(not_run.state.final_error(late).kind == ErrorKind::deadline_passed_unsent);
+
+    Request ran(route_of(RouteClass::non_idempotent, 1));
+    ran.send_and_decide(AttemptResult::broken);
+    cr_assert(ran.state.final_error(in_time).kind == ErrorKind::worker_failed);
+    cr_assert(ran.state.final_error(late).kind == ErrorKind::deadline_passed);
+}
+
+Test(retry_state, that_it_may_have_run_is_not_forgotten_by_a_later_attempt) {
+    Request request(route_of(RouteClass::safe, 3));
+    request.send_and_decide(AttemptResult::broken);
+    request.send_and_decide(AttemptResult::not_executed);
+    cr_assert(request.state.may_have_run());
+    cr_assert(request.state.final_error(in_time).kind == ErrorKind::worker_failed);
+}
--- a/tests/system/data/scripted_worker.h
+++ b/tests/system/data/scripted_worker.h
@@ -1,5 +1,5 @@
-// Workers of the exchange's tests: each takes connections on loopback, reads as much of a request as its
-// script says, and then answers, closes or resets. Runs on the loop of the test.
+// Workers of the tests of proxied requests: each takes connections on loopback, reads as much of a request as
+// its script says, and then responds, closes or resets. Runs on the loop of the test.
 #pragma once
 
 #include "system/transport/asio.h"
@@ -14,15 +14,15 @@
 namespace willowrill::data {
 
 // How much of a request the worker reads before it does anything.
-enum class Reads { nothing, head, part_of_body, all };
+enum class ReadAmount { nothing, head, part_of_body, all };
 
 // What it does then.
-enum class Then { says, says_and_closes, says_and_resets, closes, resets, keeps_silent };
+enum class Reaction { respond, respond_and_close, respond_and_reset, close, reset, stay_silent };
 
 struct Step {
-    Reads reads = Reads::all;
-    Then then = Then::says;
-    std::string answer; // "ID" stands for the request's Attempt-Id
+    ReadAmount reads = ReadAmount::all;
+    Reaction reaction = Reaction::respond;
+    std::string response; // "ID" stands for the request's Attempt-Id
 };
 
 class ScriptedWorker {
@@ -35,7 +35,7 @@
     }
 
     std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
-    // For the next requests, one after the other; without one it answers in order.
+    // For the next requests, one after the other; without a step it responds in order.
     void expect(Step step) { steps_.push_back(std::move(step)); }
 
     std::vector<std::string> requests; // what was read of each
@@ -60,94 +60,95 @@
     }
 
     void serve(const PeerPtr& peer) {
-        Step step{Reads::all, Then::says, plain_answer()};
+        Step step{ReadAmount::all, Reaction::respond, plain_response()};
         if (!steps_.empty()) {
             step = steps_.front();
-            if (step.reads == Reads::nothing) return begin(peer, step);
+            if (step.reads == ReadAmount::nothing) return react(peer, step);
         }
         read(peer);
     }
 
-    static std::string plain_answer() {
+    static std::string plain_response() {
         return "HTTP/1.1 200 OK\r\nAttempt-Id: ID\r\nServer-Seal: seal\r\nContent-Length: 12\r\n\r\ndata: "
                "good\n\n";
     }
 
     void read(const PeerPtr& peer) {
-        peer->socket.async_read_some(asio::buffer(peer->buffer), [this, peer](ErrorCode error,
-                                                                              std::size_t n) {
-            if (error) return;
-            peer->got.append(peer->buffer.data(), n);
-            const Step step = steps_.empty() ? Step{Reads::all, Then::says, plain_answer()} : steps_.front();
-            if (!enough(peer->got, step.reads)) return read(peer);
-            begin(peer, step);
-        });
+        peer->socket.async_read_some(
+            asio::buffer(peer->buffer), [this, peer](ErrorCode error, std::size_t n) {
+                if (error) return;
+                peer->got.append(peer->buffer.data(), n);
+                const Step step = steps_.empty() ? Step{ReadAmount::all, Reaction::respond, plain_response()}
+                                                 : steps_.front();
+                if (!has_read_enough(peer->got, step.reads)) return read(peer);
+                react(peer, step);
+            });
     }
 
-    static bool enough(const std::string& got, Reads reads) {
+    static bool has_read_enough(const std::string& got, ReadAmount reads) {
         const std::size_t head = got.find("\r\n\r\n");
         if (head == std::string::npos) return false;
-        if (reads == Reads::head) return true;
+        if (reads == ReadAmount::head) return true;
         std::size_t length = 0;
         if (const std::size_t at = got.find("Content-Length: "); at != std::string::npos && at < head)
             length = std::stoul(got.substr(at + 16));
         const std::size_t body = got.size() - head - 4;
-        return reads == Reads::part_of_body ? body > 0 && body >= length / 3 : body >= length;
+        return reads == ReadAmount::part_of_body ? body > 0 && body >= length / 3 : body >= length;
     }
 
-    void begin(const PeerPtr& peer, const Step& step) {
+    void react(const PeerPtr& peer, const Step& step) {
         if (!steps_.empty()) steps_.pop_front();
         requests.push_back(std::exchange(peer->got, {}));
-        std::string answer = step.answer;
+        std::string response = step.response;
         const std::string& request = requests.back();
         const std::size_t id = request.find("Attempt-Id: ");
         const std::string value =
             id == std::string::npos ? "" : request.substr(id + 12, request.find("\r\n", id) - id - 12);
-        for (std::size_t at = answer.find("ID\r\n"); at != std::string::npos;
-             at = answer.find("ID\r\n", at + 1))
-            answer.replace(at, 2, value);
+        for (std::size_t at = response.find("ID\r\n"); at != std::string::npos;
+             at = response.find("ID\r\n", at + 1))
+            response.replace(at, 2, value);
         ErrorCode ignored;
-        switch (step.then) {
-        case Then::says:
-            asio::write(peer->socket, asio::buffer(answer), ignored);
+        switch (step.reaction) {
+        case Reaction::respond:
+            asio::write(peer->socket, asio::buffer(response), ignored);
             return read(peer);
-        case Then::says_and_closes:
-            asio::write(peer->socket, asio::buffer(answer), ignored);
+        case Reaction::respond_and_close:
+            asio::write(peer->socket, asio::buffer(response), ignored);
             peer->socket.shutdown(Tcp::socket::shutdown_send, ignored);
             return drain(peer);
-        case Then::says_and_resets:
-            asio::write(peer->socket, asio::buffer(answer), ignored);
-            return reset_soon(peer);
-        case Then::closes:
+        case Reaction::respond_and_reset:
+            asio::write(peer->socket, asio::buffer(response), ignored);
+            return reset_later(peer);
+        case Reaction::close:
             peer->socket.shutdown(Tcp::socket::shutdown_send, ignored);
             return drain(peer);
-        case Then::resets:
+        case Reaction::reset:
             return reset(peer);
-        case Then::keeps_silent:
-            return hold(peer);
+        case Reaction::stay_silent:
+            return keep_open(peer);
         }
     }
 
-    // Reads on, so that closing does not reset what was said.
+    // Reads on, so that closing does not reset what was written.
     void drain(const PeerPtr& peer) {
         peer->socket.async_read_some(asio::buffer(peer->buffer), [this, peer](ErrorCode error, std::size_t) {
             if (!error) drain(peer);
         });
     }
 
-    static void hold(const PeerPtr& peer) {
+    static void keep_open(const PeerPtr& peer) {
         peer->socket.async_wait(Tcp::socket::wait_error, [peer](ErrorCode) {});
     }
 
-    // Once the other end has read what was said: a reset would take it away.
-    void reset_soon(const PeerPtr& peer) { held_.push_back(peer); }
+    // Once the other end has read the response: a reset would discard it.
+    void reset_later(const PeerPtr& peer) { pending_resets_.push_back(peer); }
 
   public:
-    // Resets the connections whose last words have been read.
-    void reset_held() {
-        for (const PeerPtr& peer : held_)
+    // Resets the connections whose responses have been read.
+    void reset_pending() {
+        for (const PeerPtr& peer : pending_resets_)
             reset(peer);
-        held_.clear();
+        pending_resets_.clear();
     }
 
   private:
@@ -161,7 +162,7 @@
 
     Tcp::acceptor acceptor_;
     std::deque<Step> steps_;
-    std::vector<PeerPtr> held_;
+    std::vector<PeerPtr> pending_resets_;
 };
 
 } // namespace willowrill::data
--- /dev/null
+++ b/tests/system/data/streams_test.cpp
@@ -0,0 +1,73 @@
+// Streams of events that are relayed, resumed or cut short.
+#include "data/proxy_fixture.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+#include <fmt/format.h>
+
+#include <string>
+
+using namespace willowrill;
+using namespace willowrill::data;
+
+namespace {
+
+std::string chunk(const std::string& text) { return fmt::format("{:x}\r\n{}\r\n", text.size(), text); }
+
+std::string event(int number) { return fmt::format("id: {}\ndata: e{}\n\n", number, number); }
+
+const std::string stream_head = "HTTP/1.1 200 OK\r\n" + id + seal +
+                                "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+} // namespace
+
+Test(streams, one_that_breaks_off_in_an_event_goes_on_after_the_last_whole_one) {
+    for (const Reaction reaction : {Reaction::respond_and_close, Reaction::respond_and_reset}) {
+        ProxyFixture proxy("streaming", true, 2);
+        proxy.first.expect({ReadAmount::all, reaction, stream_head + chunk(event(1)) + chunk("id: 2\nda")});
+        proxy.second.expect(
+            {ReadAmount::all, Reaction::respond, stream_head + chunk(event(2) + event(3)) + "0\r\n\r\n"});
+        const std::string got = proxy.serve("0b");
+        cr_assert(contains(proxy.second.requests.at(0), "Last-Event-Id: 1\r\n"));
+        for (const char* const part : {"data: e1\n", "data: e2\n", "data: e3\n"})
+            cr_assert(got.find(part) != std::string::npos && got.find(part) == got.rfind(part), "%s", part);
+        cr_assert(got.ends_with("0\r\n\r\n"));
+        cr_assert_eq(got.find("HTTP/1.1"), got.rfind("HTTP/1.1"), "one head");
+        cr_assert(proxy.reusable);
+    }
+}
+
+Test(streams, one_that_may_not_be_resumed_ends_without_looking_complete) {
+    ProxyFixture proxy("streaming", false, 2);
+    proxy.first.expect({ReadAmount::all, Reaction::respond_and_close, stream_head + chunk(event(1))});
+    const std::string got = proxy.serve("0b");
+    cr_assert(contains(got, "data: e1"));
+    cr_assert(!got.ends_with("0\r\n\r\n"));
+    cr_assert_not(proxy.reusable, "the connection must end, so that nothing looks whole");
+    cr_assert(proxy.second.requests.empty());
+}
+
+Test(streams, a_resumption_that_is_refused_is_asked_elsewhere_or_ends_cut_short) {
+    for (const std::string& refusal :
+         {worker_response("503 Service Unavailable", id + promise), worker_response("200 OK", seal),
+          worker_response("500 Internal Server Error", id + seal)}) {
+        ProxyFixture proxy("streaming", true, 2);
+        proxy.first.expect({ReadAmount::all, Reaction::respond_and_close, stream_head + chunk(event(1))});
+        proxy.second.expect({ReadAmount::all, Reaction::respond, refusal});
+        const std::string got = proxy.serve("0b");
+        cr_assert(!got.ends_with("0\r\n\r\n"), "%s", refusal.c_str());
+        cr_assert_not(proxy.reusable);
+        cr_assert_eq(got.find("HTTP/1.1"), got.rfind("HTTP/1.1"), "no second head");
+    }
+}
+
+Test(streams, one_without_a_length_is_whole_where_its_connection_ends_in_order) {
+    ProxyFixture proxy("streaming", false, 1);
+    proxy.first.expect(
+        {ReadAmount::all, Reaction::respond_and_close,
+         "HTTP/1.1 200 OK\r\n" + id + seal + "Content-Type: text/event-stream\r\n\r\n" + event(1)});
+    const std::string got = proxy.serve("0b");
+    cr_assert(contains(got, "data: e1"));
+    cr_assert(got.ends_with("0\r\n\r\n"));
+}
