--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -5,6 +5,7 @@
 #include "system/discovery/codec.h"
 #include "system/distribution/held_state.h"
 #include "system/distribution/push_messages.h"
+#include "system/logging/log.h"
 #include "system/membership/codec.h"
 
 #include <fmt/format.h>
@@ -19,12 +20,24 @@
 using nlohmann::json;
 
 constexpr auto tick_period = 50ms;
-constexpr auto readings_wait = 150ms;       // a start does not wait longer for first readings
-constexpr auto schedulers_remembered = 30s; // shares of budgets grow only after so long
-constexpr auto clients_move_on = 3300ms; // addresses are kept for up to three times what the directory says
-constexpr auto grace_margin = 700ms;     // the process ends this long before the platform ends it
-constexpr std::uint64_t ticks_between_sweeps = 20;
-constexpr routing::Time cold_unknown{1500}; // how late the platform's list may tell that a worker turned cold
+constexpr auto sweep_period = 1s; // between looks for idle connections and old counts
+// A start does not wait longer for first load reports.
+constexpr auto max_load_report_wait = 150ms;
+// Shares of budgets grow only after so long.
+constexpr auto schedulers_remembered = 30s;
+// Clients keep an address for up to three times as long as the directory says.
+constexpr auto client_redirect_timeout = 3300ms;
+// Between the end of accepting and the end of the process, at least.
+constexpr auto drain_margin = 200ms;
+// The process ends this long before the platform ends it.
+constexpr auto grace_margin = 700ms;
+// How late the platform's list may tell that a worker turned cold.
+constexpr routing::Time cold_unknown{1500};
+constexpr int load_report_port_offset = 1; // from the first internal port
+
+std::uint16_t load_report_port(const settings::Settings& settings) {
+    return static_cast<std::uint16_t>(settings.first_internal_port + load_report_port_offset);
+}
 
 } // namespace
 
@@ -32,36 +45,43 @@
                      std::uint16_t metrics_port)
     : loop_(loop), settings_(std::move(settings)), settings_path_(std::move(settings_path)),
       context_(loop, settings_, identity::random_identity()), incarnation_(identity::random_identity()),
-      core_(loop, settings_,
-            {[this] { return lease(); },
-             [this] {
-                 return context_.active_configuration ? std::optional(context_.active_configuration->position)
-                                                      : std::nullopt;
-             },
-             [this] { return std::exchange(lacks_, {}); }, [this] { members_.begin_session(); },
-             [this](const json& message) { on_push(message); },
-             [this] {
-                 // The file may have changed without a signal; read only when a core member is looked for.
-                 if (auto again = settings::load(settings_path_)) settings_.seeds = again.value().seeds;
-                 return settings_.seeds;
-             }}),
-      readings_(context_, settings_.address, static_cast<std::uint16_t>(settings_.first_internal_port + 1)),
+      core_(loop, settings_, core_callbacks()),
+      load_reports_(context_, settings_.address, load_report_port(settings_)),
       readiness_(loop, settings_.readiness.host, settings_.readiness.port, {},
                  [this](const http_server::Request& request, const http_server::Respond& respond) {
                      on_readiness(request, respond);
                  }),
-      metrics_server_(loop, settings_.address, metrics_port, context_.metrics,
-                      [this] {
-                          using metrics::Level;
-                          context_.metrics.set(Level::workers, static_cast<double>(context_.workers.size()));
-                          context_.metrics.set(Level::members,
-                                               static_cast<double>(context_.scheduler_names.size()));
-                      }),
-      timer_(loop) {
+      metrics_server_(loop, settings_.address, metrics_port, context_.metrics, [this] { update_gauges(); }),
+      timer_(loop), next_sweep_(Clock::now() + sweep_period) {
     core_.start();
     tick();
 }
 
+CoreConnection::Callbacks DataPlane::core_callbacks() {
+    CoreConnection::Callbacks callbacks;
+    callbacks.lease = [this] { return lease(); };
+    callbacks.holds = [this] { return active_position(); };
+    callbacks.lacks = [this] { return std::exchange(lacks_, {}); };
+    callbacks.session_began = [this] { members_.begin_session(); };
+    callbacks.on_push = [this](const json& message) { on_push(message); };
+    callbacks.seeds = [this] {
+        reload_settings(); // the file may have changed without a signal; a core member is looked for rarely
+        return settings_.seeds;
+    };
+    return callbacks;
+}
+
+std::optional<replication::Position> DataPlane::active_position() const {
+    if (!context_.active_configuration) return std::nullopt;
+    return context_.active_configuration->position;
+}
+
+void DataPlane::update_gauges() {
+    using metrics::Level;
+    context_.metrics.set(Level::workers, static_cast<double>(context_.workers.size()));
+    context_.metrics.set(Level::members, static_cast<double>(context_.scheduler_names.size()));
+}
+
 void DataPlane::on_readiness(const http_server::Request& request, const http_server::Respond& respond) const {
     if (phase_ == Phase::ready) return respond(http_server::json_response(request, 200, R"({"ready":true})"));
     respond(http_server::error_response(request, {errors::ErrorKind::not_ready, "starting or leaving"}));
@@ -74,7 +94,7 @@
     out.zone = settings_.zone;
     out.region = settings_.region;
     out.client_address = settings::to_text(settings_.front);
-    out.peer_address = fmt::format("{}:{}", settings_.address, settings_.first_internal_port + 1);
+    out.peer_address = fmt::format("{}:{}", settings_.address, load_report_port(settings_));
     out.phase = phase_;
     return out;
 }
@@ -82,8 +102,7 @@
 void DataPlane::change_phase(Phase next) {
     if (phase_ == next) return;
     phase_ = next;
-    fmt::print(stderr, "level=info event=phase node={} phase={}\n", settings_.node_name,
-               json(next).get<std::string>());
+    logging::info("phase").field("node", settings_.node_name).field("phase", json(next).get<std::string>());
     core_.renew_now();
 }
 
@@ -93,28 +112,17 @@
 
 bool DataPlane::knows_enough() const {
     if (!context_.active_configuration || !workers_known_since_) return false;
-    return readings_.has_readings() || Clock::now() - *workers_known_since_ >= readings_wait;
+    return load_reports_.has_readings() || Clock::now() - *workers_known_since_ >= max_load_report_wait;
 }
 
 void DataPlane::tick() {
-    ++ticks_;
     const Clock::time_point now = Clock::now();
-    if (phase_ == Phase::starting && knows_enough()) {
-        client_listener_.emplace(context_, settings_.front.host, settings_.front.port);
-        change_phase(Phase::ready);
-    }
-    if (ticks_ % ticks_between_sweeps == 0) {
-        context_.pool.sweep();
-        context_.cold.sweep(steady_now());
-    }
+    if (phase_ == Phase::starting && knows_enough()) start_serving();
+    if (now >= next_sweep_) sweep(now);
     if (phase_ == Phase::leaving) {
-        const auto since = now - left_at_;
-        if (since >= clients_move_on && client_listener_) client_listener_->stop_accepting();
-        const bool idle = !client_listener_ || client_listener_->active_requests() == 0;
-        if ((since >= clients_move_on + 200ms && idle) || since >= settings_.timers.grace - grace_margin) {
-            log_counters();
-            return loop_.stop();
-        }
+        const Clock::duration leaving_for = now - shutdown_began_;
+        if (leaving_for >= client_redirect_timeout) client_listener_->stop_accepting();
+        if (may_end(leaving_for)) return end();
     }
     timer_.expires_after(tick_period);
     timer_.async_wait([this](ErrorCode error) {
@@ -122,11 +130,34 @@
     });
 }
 
+void DataPlane::start_serving() {
+    client_listener_.emplace(context_, settings_.front.host, settings_.front.port);
+    change_phase(Phase::ready);
+}
+
+void DataPlane::sweep(Clock::time_point now) {
+    next_sweep_ = now + sweep_period;
+    context_.pool.sweep();
+    context_.cold.sweep(steady_now());
+}
+
+// Nobody is served any more and nobody comes, or the platform would end the process.
+bool DataPlane::may_end(Clock::duration leaving_for) const {
+    const bool idle = client_listener_->active_requests() == 0;
+    if (idle && leaving_for >= client_redirect_timeout + drain_margin) return true;
+    return leaving_for >= settings_.timers.grace - grace_margin;
+}
+
+void DataPlane::end() {
+    log_counters();
+    loop_.stop();
+}
+
 void DataPlane::leave() {
     if (phase_ == Phase::leaving) return;
-    left_at_ = Clock::now();
+    shutdown_began_ = Clock::now();
     context_.shutting_down = true;
-    if (!client_listener_) return loop_.stop(); // nobody was taken in yet
+    if (!client_listener_) return loop_.stop(); // no client was accepted yet
     change_phase(Phase::leaving);
 }
 
@@ -188,7 +219,7 @@
         most_since_ = now;
     }
     context_.schedulers = std::max<std::size_t>(1, most_schedulers_);
-    readings_.on_members(members);
+    load_reports_.on_members(members);
 }
 
 void DataPlane::on_zone(const discovery::ZoneList& list) {
@@ -209,13 +240,21 @@
 }
 
 void DataPlane::log_counters() const {
-    const Counters& c = context_.counters;
-    fmt::print(
-        stderr,
-        "level=info event=counters node={} requests={} served={} refused={} failed={} bad={} client_left={} "
-        "attempts={} not_executed={} broken={} unreachable={} opened={} probes={}\n",
-        settings_.node_name, c.requests, c.served, c.refused, c.failed, c.bad, c.client_left, c.attempts,
-        c.not_executed, c.broken, c.unreachable, context_.pool.opened(), readings_.probes());
+    const Counters& counters = context_.counters;
+    logging::info("counters")
+        .field("node", settings_.node_name)
+        .field("requests", counters.requests)
+        .field("served", counters.served)
+        .field("refused", counters.refused)
+        .field("failed", counters.failed)
+        .field("bad", counters.bad)
+        .field("client_left", counters.client_left)
+        .field("attempts", counters.attempts)
+        .field("not_executed", counters.not_executed)
+        .field("broken", counters.broken)
+        .field("unreachable", counters.unreachable)
+        .field("opened", context_.pool.opened())
+        .field("probes", load_reports_.probes());
 }
 
 } // namespace willowrill::data
--- a/src/system/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -1,5 +1,6 @@
-// One process of the data plane, a scheduler: takes clients in, and carries their requests to workers with
-// what the core tells it. Everything runs on the one thread of the loop.
+// One process of the data plane, a scheduler: puts together the clients' listener, the connection to the
+// core, the load reports and the process's own interfaces, applies what the core pushes, and moves the
+// process through its phases: starting, ready, leaving. Everything runs on the one thread of the loop.
 #pragma once
 
 #include "system/data/client_listener.h"
@@ -20,17 +21,30 @@
 
 class DataPlane {
   public:
+    // `settings_path`: read again for the seeds of the core. `metrics_port`: 0 serves no metrics. `loop` must
+    // outlive this object.
     DataPlane(asio::io_context& loop, settings::Settings settings, std::string settings_path,
               std::uint16_t metrics_port = 0);
 
-    // Takes no new clients, finishes what is under way, and ends the loop within the platform's grace.
+    // Graceful shutdown: takes no new clients, finishes what is under way, and ends the loop within the
+    // platform's grace period.
     void leave();
+    // Takes the core's seeds from the settings file, where it is readable.
     void reload_settings();
 
   private:
     using Clock = std::chrono::steady_clock;
 
+    CoreConnection::Callbacks core_callbacks();
+    std::optional<replication::Position> active_position() const;
+    void update_gauges();
+
     void tick();
+    void start_serving();
+    void sweep(Clock::time_point now);
+    bool may_end(Clock::duration leaving_for) const;
+    void end();
+
     void on_push(const nlohmann::json& message);
     void on_state(const nlohmann::json& message);
     void ask_whole(const char* what);
@@ -56,13 +70,13 @@
     Clock::time_point most_since_;
     std::optional<Clock::time_point> workers_known_since_;
     CoreConnection core_;
-    LoadReportExchange readings_;
+    LoadReportExchange load_reports_;
     http_server::Server readiness_;
     metrics::MetricsServer metrics_server_;
     std::optional<ClientListener> client_listener_;
     SteadyTimer timer_;
-    Clock::time_point left_at_;
-    std::uint64_t ticks_ = 0;
+    Clock::time_point shutdown_began_;
+    Clock::time_point next_sweep_;
 };
 
 } // namespace willowrill::data
--- a/src/system/data/main.cpp
+++ b/src/system/data/main.cpp
@@ -1,21 +1,24 @@
 // willowrill-data: one process of the data plane.
 #include "system/data/data_plane.h"
+#include "system/logging/log.h"
 #include "system/transport/process.h"
 
 #include <CLI/CLI.hpp>
-#include <fmt/format.h>
 
 #include <csignal>
+#include <cstdlib>
+#include <exception>
+#include <string>
 
 namespace {
 
 using namespace willowrill;
 
-int serve(const settings::Settings& settings, const std::string& path, std::uint16_t metrics_port) {
+// Returns once the process has left in order; throws where it cannot start.
+void serve(const settings::Settings& settings, const std::string& path, std::uint16_t metrics_port) {
     asio::io_context loop(1);
-    data::DataPlane plane(loop, settings, path, metrics_port);
-    transport::run_until_it_leaves(loop, plane);
-    return 0;
+    data::DataPlane data_plane(loop, settings, path, metrics_port);
+    transport::run_until_it_leaves(loop, data_plane);
 }
 
 } // namespace
@@ -33,15 +36,17 @@
     std::signal(SIGPIPE, SIG_IGN);
     const auto settings = settings::load(settings_path);
     if (!settings || settings.value().front.port == 0 || settings.value().readiness.port == 0) {
-        fmt::print(stderr, "level=error event=settings-unusable path={} detail=\"{}\"\n", settings_path,
-                   settings ? "endpoints.front or endpoints.readiness is missing" : settings.error().detail);
-        return 1;
+        const std::string reason =
+            settings ? "endpoints.front or endpoints.readiness is missing" : settings.error().detail;
+        logging::error("settings-unusable").field("path", settings_path).text("detail", reason);
+        return EXIT_FAILURE;
     }
-    if (check) return 0;
+    if (check) return EXIT_SUCCESS;
     try {
-        return serve(settings.value(), settings_path, metrics_port);
+        serve(settings.value(), settings_path, metrics_port);
     } catch (const std::exception& error) {
-        fmt::print(stderr, "level=error event=ended detail=\"{}\"\n", error.what());
-        return 1;
+        logging::error("ended").text("detail", error.what());
+        return EXIT_FAILURE;
     }
+    return EXIT_SUCCESS;
 }
