--- /dev/null
+++ b/tests/system/data/client_session_test.cpp
@@ -0,0 +1,152 @@
+// One client's connection: which requests are proxied, which are rejected and how, and when the connection
+// ends.
+#include "data/proxy_fixture.h"
+#include "system/data/client_session.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+
+#include <functional>
+#include <string>
+
+using namespace willowrill;
+using namespace willowrill::data;
+
+namespace {
+
+const std::string complete_request = "GET /a/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 0b\r\n\r\n";
+
+// A session on loopback with the client's end of its connection.
+class SessionFixture {
+  public:
+    SessionFixture() : proxy("safe", false, 1), client_(proxy.loop) {
+        Tcp::acceptor acceptor(proxy.loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+        client_.connect(acceptor.local_endpoint());
+        auto session = std::make_shared<ClientSession>(*proxy.context, counts, acceptor.accept());
+        asio::co_spawn(proxy.loop, ClientSession::run(std::move(session)), asio::detached);
+    }
+
+    void send(const std::string& bytes) { asio::write(client_, asio::buffer(bytes)); }
+
+    void run_until(const std::function<bool()>& condition) {
+        while (!condition())
+            cr_assert_gt(proxy.loop.run_one_for(std::chrono::seconds(20)), 0U, "nothing happens any more");
+    }
+
+    // The next response, complete with its body.
+    http::response<http::string_body> receive() {
+        http::response<http::string_body> response;
+        bool received = false;
+        http::async_read(client_, buffer_, response, [&](ErrorCode error, std::size_t /*bytes*/) {
+            cr_assert(!error, "%s", error.message().c_str());
+            received = true;
+        });
+        run_until([&] { return received; });
+        return response;
+    }
+
+    bool session_ended() {
+        run_until([&] { return counts->connections == 0; });
+        ErrorCode error;
+        char byte = 0;
+        client_.read_some(asio::buffer(&byte, 1), error);
+        return error == asio::error::eof;
+    }
+
+    ProxyFixture proxy;
+    std::shared_ptr<ClientCounts> counts = std::make_shared<ClientCounts>();
+
+  private:
+    Tcp::socket client_;
+    beast::flat_buffer buffer_;
+};
+
+} // namespace
+
+Test(client_session, proxies_requests_one_after_the_other) {
+    SessionFixture session;
+    for (int i = 0; i < 2; ++i) {
+        session.send(complete_request);
+        const auto response = session.receive();
+        cr_assert_eq(response.result_int(), 200U);
+        cr_assert(response.keep_alive());
+    }
+    cr_assert_eq(session.proxy.first.requests.size(), 2U);
+    cr_assert_eq(session.proxy.context->counters.served, 2U);
+    cr_assert_eq(session.counts->connections, 1U);
+}
+
+Test(client_session, rejects_a_request_without_a_route_and_goes_on) {
+    SessionFixture session;
+    session.send("GET /b HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 0b\r\n\r\n");
+    const auto rejection = session.receive();
+    cr_assert_eq(rejection.result_int(), 404U);
+    expect_text(std::string(rejection["Attempt-Id"]), "0b");
+    cr_assert(rejection.keep_alive());
+    session.send(complete_request);
+    cr_assert_eq(session.receive().result_int(), 200U);
+    cr_assert_eq(session.proxy.context->counters.bad, 1U);
+}
+
+Test(client_session, rejects_a_request_without_an_attempt_id) {
+    SessionFixture session;
+    session.send("GET /a/x HTTP/1.1\r\nHost: h.example\r\n\r\n");
+    const auto rejection = session.receive();
+    cr_assert_eq(rejection.result_int(), 400U);
+    cr_assert(rejection.find("Attempt-Id") == rejection.end());
+    cr_assert(session.proxy.first.requests.empty());
+}
+
+Test(client_session, rejects_bytes_that_are_no_request_and_ends) {
+    SessionFixture session;
+    session.send("garbage garbage\r\n\r\n");
+    const auto rejection = session.receive();
+    cr_assert_eq(rejection.result_int(), 400U);
+    cr_assert_not(rejection.keep_alive());
+    cr_assert(session.session_ended());
+    cr_assert_eq(session.proxy.context->counters.bad, 1U);
+}
+
+Test(client_session, rejects_a_body_over_the_limit_and_ends) {
+    SessionFixture session;
+    const std::size_t limit =
+        session.proxy.context->active_configuration->configuration.limits.max_body_bytes;
+    session.send("POST /a/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: 0b\r\nContent-Length: " +
+                 std::to_string(limit + 1) + "\r\n\r\n");
+    cr_assert_eq(session.receive().result_int(), 413U);
+    cr_assert(session.session_ended());
+}
+
+Test(client_session, ends_after_a_response_while_shutting_down) {
+    SessionFixture session;
+    session.proxy.context->shutting_down = true;
+    session.send(complete_request);
+    const auto response = session.receive();
+    cr_assert_eq(response.result_int(), 200U);
+    cr_assert_not(response.keep_alive());
+    cr_assert(session.session_ended());
+}
+
+Test(client_session, counts_a_request_while_it_is_answered) {
+    SessionFixture session;
+    session.proxy.first.expect({ReadAmount::all, Reaction::stay_silent, ""});
+    session.send(complete_request);
+    session.run_until([&] { return !session.proxy.first.requests.empty(); });
+    cr_assert_eq(session.counts->active_requests, 1U);
+    cr_assert_eq(session.proxy.context->workers.at("w1").in_flight, 1U);
+}
+
+// The loop destroys what is suspended in it at its own end, after the context and the workers.
+Test(client_session, a_request_under_way_may_be_destroyed_with_the_loop) {
+    const auto counts = [] {
+        SessionFixture session;
+        session.proxy.first.expect({ReadAmount::all, Reaction::stay_silent, ""});
+        session.send(complete_request);
+        session.run_until([&] { return !session.proxy.first.requests.empty(); });
+        cr_assert_eq(session.counts->active_requests, 1U);
+        return session.counts;
+    }();
+    cr_assert_eq(counts->active_requests, 0U);
+    cr_assert_eq(counts->connections, 0U);
+}
--- a/tests/system/data/worker_outcomes_test.cpp
+++ b/tests/system/data/worker_outcomes_test.cpp
@@ -18,55 +18,59 @@
 
 // What the worker's behaviour tells of the request, from the pages alone.
 // `misdirected`: not run, as the instance it was sent to is not there; that was no send to a worker.
-enum class Fate { answered, not_run, misdirected, unknown };
+enum class Execution { answered, not_run, misdirected, unknown };
 
 struct Outcome {
     const char* name;
     Step step;
-    Fate on_new;  // on a connection that has carried nothing else
-    Fate on_kept; // on one that has
+    Execution on_new;  // on a connection that has carried nothing else
+    Execution on_kept; // on one that has
 };
 
 std::vector<Outcome> outcomes() {
-    const auto says = [](const std::string& text) { return Step{ReadAmount::all, Reaction::respond, text}; };
-    const Fate answered = Fate::answered, not_run = Fate::not_run, misdirected = Fate::misdirected,
-               unknown = Fate::unknown;
+    const auto responds = [](const std::string& text) {
+        return Step{ReadAmount::all, Reaction::respond, text};
+    };
+    const Execution answered = Execution::answered, not_run = Execution::not_run,
+                    misdirected = Execution::misdirected, unknown = Execution::unknown;
     return {
-        {"whole answer", says(worker_response("200 OK", id + seal)), answered, answered},
-        {"failure of the worker's", says(worker_response("500 Internal Server Error", id + seal)), answered,
-         answered},
-        {"503 with the promise", says(worker_response("503 Service Unavailable", id + promise)), not_run,
+        {"whole answer", responds(worker_response("200 OK", id + seal)), answered, answered},
+        {"failure of the worker's", responds(worker_response("500 Internal Server Error", id + seal)),
+         answered, answered},
+        {"503 with the promise", responds(worker_response("503 Service Unavailable", id + promise)), not_run,
+         not_run},
+        {"429 with the promise", responds(worker_response("429 Too Many Requests", id + promise)), not_run,
          not_run},
-        {"429 with the promise", says(worker_response("429 Too Many Requests", id + promise)), not_run,
+        {"408 with the promise", responds(worker_response("408 Request Timeout", id + promise)), not_run,
          not_run},
-        {"408 with the promise", says(worker_response("408 Request Timeout", id + promise)), not_run,
+        {"400 with the promise", responds(worker_response("400 Bad Request", id + promise)), not_run,
          not_run},
-        {"400 with the promise", says(worker_response("400 Bad Request", id + promise)), not_run, not_run},
-        {"421 is a promise", says(worker_response("421 Misdirected Request", id)), misdirected, misdirected},
-        {"503 without the promise", says(worker_response("503 Service Unavailable", id + seal)), unknown,
+        {"421 is a promise", responds(worker_response("421 Misdirected Request", id)), misdirected,
+         misdirected},
+        {"503 without the promise", responds(worker_response("503 Service Unavailable", id + seal)), unknown,
          unknown},
-        {"429 without the promise", says(worker_response("429 Too Many Requests", id + seal)), unknown,
+        {"429 without the promise", responds(worker_response("429 Too Many Requests", id + seal)), unknown,
          unknown},
-        {"408 without the promise", says(worker_response("408 Request Timeout", id + seal)), unknown,
+        {"408 without the promise", responds(worker_response("408 Request Timeout", id + seal)), unknown,
          unknown},
-        {"promise without an id", says(worker_response("503 Service Unavailable", promise)), not_run,
+        {"promise without an id", responds(worker_response("503 Service Unavailable", promise)), not_run,
          unknown},
-        {"421 without an id", says(worker_response("421 Misdirected Request", "")), misdirected, unknown},
-        {"answer without an id", says(worker_response("200 OK", seal)), unknown, unknown},
+        {"421 without an id", responds(worker_response("421 Misdirected Request", "")), misdirected, unknown},
+        {"answer without an id", responds(worker_response("200 OK", seal)), unknown, unknown},
         {"answer with another id, then the own one",
-         says(worker_response("200 OK", other_id + seal, "wrong") + worker_response("200 OK", id + seal)),
+         responds(worker_response("200 OK", other_id + seal, "wrong") + worker_response("200 OK", id + seal)),
          unknown, answered},
         {"promise with another id, then the own answer",
-         says(worker_response("503 Service Unavailable", other_id + promise, "wrong") +
-              worker_response("200 OK", id + seal)),
+         responds(worker_response("503 Service Unavailable", other_id + promise, "wrong") +
+                  worker_response("200 OK", id + seal)),
          unknown, answered},
         {"promise with another id, then silence and a close",
          {ReadAmount::all, Reaction::respond_and_close,
           worker_response("503 Service Unavailable", other_id + promise, "wrong")},
          unknown,
          unknown},
-        {"2xx without a seal", says(worker_response("200 OK", id)), unknown, unknown},
-        {"bytes that are no answer", says("garbage garbage\r\n\r\n"), unknown, unknown},
+        {"2xx without a seal", responds(worker_response("200 OK", id)), unknown, unknown},
+        {"bytes that are no answer", responds("garbage garbage\r\n\r\n"), unknown, unknown},
         {"cut short and closed",
          {ReadAmount::all, Reaction::respond_and_close,
           "HTTP/1.1 200 OK\r\n" + id + seal + "Content-Length: 100\r\n\r\ndata: x"},
@@ -94,9 +98,10 @@
     };
 }
 
-bool may_ask_again(const RouteKind& route, Fate fate) {
-    if (fate == Fate::misdirected) return true;
-    return route.attempts > 1 && (fate == Fate::not_run || (fate == Fate::unknown && route.repeatable()));
+bool may_ask_again(const RouteKind& route, Execution execution) {
+    if (execution == Execution::misdirected) return true;
+    return route.attempts > 1 &&
+           (execution == Execution::not_run || (execution == Execution::unknown && route.repeatable()));
 }
 
 void check(const RouteKind& route, const Outcome& outcome, bool kept, std::size_t body) {
@@ -106,19 +111,19 @@
     if (kept) cr_assert_eq(status_of(proxy.serve("0a")), 200, "%s", where.c_str());
     proxy.first.expect(outcome.step);
     const std::string got = proxy.serve("0b", body);
-    const Fate fate = kept ? outcome.on_kept : outcome.on_new;
+    const Execution execution = kept ? outcome.on_kept : outcome.on_new;
     const int status = status_of(got);
-    const bool again = !proxy.second.requests.empty();
-    cr_assert_eq(again, fate != Fate::answered && may_ask_again(route, fate), "%s: asked again: %d",
-                 where.c_str(), again);
+    const bool asked_again = !proxy.second.requests.empty();
+    cr_assert_eq(asked_again, execution != Execution::answered && may_ask_again(route, execution),
+                 "%s: asked again: %d", where.c_str(), asked_again);
     cr_assert(!contains(got, "wrong"), "%s: bytes of another request", where.c_str());
-    if (fate == Fate::answered) {
+    if (execution == Execution::answered) {
         cr_assert(status == 200 || status == 500, "%s: %d", where.c_str(), status);
         cr_assert(contains(got, "0b"), "%s", where.c_str());
-    } else if (again) {
+    } else if (asked_again) {
         cr_assert_eq(status, 200, "%s: %d", where.c_str(), status);
         cr_assert(contains(proxy.second.requests[0], "Attempt-Id: 0b\r\n"), "%s", where.c_str());
-    } else if (fate == Fate::unknown) {
+    } else if (execution == Execution::unknown) {
         // 408, 421, 429 and 503 would promise that nothing has run.
         cr_assert(status == 502 || status == 504, "%s: %d", where.c_str(), status);
     } else {
