--- a/src/system/data/load_report_exchange.h
+++ b/src/system/data/load_report_exchange.h
@@ -1,78 +1,66 @@
-// How load readings come to this scheduler. Where it is home to a service in its zone, it probes the
-// service's workers there and hands the readings to its subscribers: schedulers of the zone, and the homes of
-// the other zones. Where it is not, it subscribes to the home, and goes round one that falls silent. One
-// thread.
+// How load reports come to this scheduler and go on to others. Where it is the home scheduler of a service in
+// its zone, it probes the service's workers there and publishes their reports to the schedulers of the zone
+// and to the homes of the other zones, whose reports it subscribes to. Where it is not, it subscribes to the
+// home. Decides who does what, and when; the parts do it. One thread, that of the loop.
 #pragma once
 
 #include "system/data/context.h"
-#include "system/distribution/homes.h"
-#include "system/http/client.h"
-#include "system/load_reports/load_report_delta.h"
-#include "system/transport/frame_connection.h"
+#include "system/data/load_prober.h"
+#include "system/data/load_report_publication.h"
+#include "system/data/probe_assignment.h"
+#include "system/data/scheduler_backoff.h"
+#include "system/data/subscription.h"
 
+#include <chrono>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
+#include <utility>
+#include <vector>
 
 namespace willowrill::data {
 
 class LoadReportExchange {
   public:
+    // Listens for subscribers at `host` and `port`; throws boost::system::system_error where that cannot be
+    // had. `context` must outlive the exchange.
     LoadReportExchange(Context& context, const std::string& host, std::uint16_t port);
 
-    void on_members(const std::vector<membership::Lease>& members) { members_ = members; }
-    // Whether a first reading of every service has come.
+    // The schedulers that are alive, this one among them.
+    void on_members(const std::vector<membership::Lease>& members) { assignment_.set_members(members); }
+    // Whether a first load report has come.
     bool has_readings() const;
-    std::size_t probes() const { return probes_; }
+    // Probes sent since the start.
+    std::size_t probes() const { return prober_.probes_sent(); }
 
   private:
-    using Clock = std::chrono::steady_clock;
-
-    // Who gets what: `own` are readings made here, `all` those of every zone.
-    enum class Scope { own, all };
-    using Group = std::pair<std::string, Scope>; // by service
-    // One that this scheduler subscribes to.
-    struct Source {
-        std::string node;
-        transport::FrameConnectionPtr connection;
-        bool dialling = false;
-        Clock::time_point heard;
-        load_reports::LoadReportSubscriber listener; // of what came on the connection
-    };
-    struct Prober {
-        std::shared_ptr<http_client::Client> client;
-        std::string address;
-        routing::Time due{0};
-        int failures = 0;
-    };
+    // Of a subscription: the service, and the zone whose home scheduler publishes. The own zone's home
+    // publishes reports of all zones, another zone's home those of the workers that it probes.
+    using FeedKey = std::pair<std::string, std::string>;
 
+    void schedule_tick();
     void tick();
-    void arrange(const std::string& service);
-    void follow(const std::string& key, const membership::Lease& home, const std::string& service,
-                Scope scope);
-    void probe_due();
-    void on_report(const std::string& id, const http_client::Response* response);
-    void publish(Scope scope);
-    nlohmann::json next_message(const Group& group);
-    void subscribe(const transport::FrameConnectionPtr& connection, const nlohmann::json& message);
-    void accept(const transport::FrameConnectionPtr& connection);
-    void on_readings(Source& source, const nlohmann::json& message);
-    bool probes_here(const routing::Worker& worker) const;
-    std::set<std::string> avoided();
+    // Whether work of that period is due at this tick.
+    bool due(std::chrono::milliseconds period) const;
+
+    // Finds out who is home to each service, and subscribes accordingly.
+    void arrange_subscriptions();
+    void arrange_subscriptions(const std::string& service, const std::set<std::string>& backed_off);
+    void subscribe_to_own_zone(const std::string& service, const membership::Lease& home);
+    void subscribe_to_other_zones(const std::string& service, const std::set<std::string>& backed_off);
+    Subscription& subscription(const FeedKey& key);
+    template <class Condition> void end_subscriptions(Condition condition);
 
     Context& context_;
     SteadyTimer timer_;
-    transport::FrameListener listener_;
-    std::vector<membership::Lease> members_;
-    std::map<transport::FrameConnectionPtr, Group> subscribers_;
-    std::map<Group, load_reports::LoadReportPublisher> tellers_; // of groups that have subscribers
-    std::map<std::string, Source> sources_;           // by "service", or "service@zone" between homes
-    std::set<std::string> home_of_;                   // services this scheduler is home to
-    std::map<std::string, Clock::time_point> silent_; // schedulers that were silent, and when
-    std::map<std::string, Prober> probers_;           // by instance id
-    std::size_t probes_ = 0;
-    std::uint64_t ticks_ = 0;
+    std::chrono::milliseconds ticked_time_{0}; // ticks so far, in time
+    ProbeAssignment assignment_;
+    LoadProber prober_;
+    LoadReportPublication publication_;
+    SchedulerBackoff backoff_;
+    std::map<FeedKey, std::shared_ptr<Subscription>> subscriptions_;
 };
 
 } // namespace willowrill::data
--- a/src/system/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -32,7 +32,7 @@
     return out;
 }
 
-void Worker::take(const LoadReport& fresh) {
+void Worker::apply_report(const LoadReport& fresh) {
     if (load_report && fresh.as_of <= load_report->as_of) return;
     load_report = fresh;
     while (!dispatches.empty() && dispatches.front().at <= fresh.as_of)
--- a/src/system/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -42,7 +42,7 @@
     double load() const;
     double degradation() const;
     // A fresh report clears what it shows of X.
-    void take(const LoadReport& fresh);
+    void apply_report(const LoadReport& fresh);
     void note_dispatch(Time now, double step);
     void note_success();
     void note_failure(Time now);
--- a/tests/system/load_reports/load_report_delta_test.cpp
+++ b/tests/system/load_reports/load_report_feed_test.cpp
@@ -1,5 +1,8 @@
-// Load readings told as changes: what listeners come to know, against the readings themselves.
-#include "system/load_reports/load_report_delta.h"
+// Load reports from a publisher to its subscribers: what subscribers come to know, against the reports
+// themselves.
+#include "system/load_reports/load_report_codec.h"
+#include "system/load_reports/load_report_publisher.h"
+#include "system/load_reports/load_report_subscriber.h"
 
 #include "support/expect.h"
 
@@ -11,6 +14,7 @@
 using namespace willowrill;
 using load_reports::LoadReportPublisher;
 using load_reports::LoadReportSubscriber;
+using load_reports::LoadReportUpdate;
 using nlohmann::json;
 using routing::LoadReport;
 using routing::Time;
@@ -38,7 +42,7 @@
     return out;
 }
 
-LoadReport reading(int at, std::size_t active) {
+LoadReport report(int at, std::size_t active) {
     LoadReport out;
     out.as_of = Time(at);
     out.active = active;
@@ -48,23 +52,23 @@
 
 } // namespace
 
-// Random walks of load at sixty workers, a second listener that comes in the middle.
-Test(readings, listeners_are_never_far_from_the_truth_nor_late) {
+// Random walks of load at sixty workers, a second subscriber that subscribes in the middle.
+Test(load_report_feed, subscribers_stay_within_the_published_difference) {
     std::mt19937_64 random(2);
     Workers home = some_workers(60), near = some_workers(60), later = some_workers(60);
-    LoadReportPublisher teller;
-    LoadReportSubscriber listener, late_listener;
+    LoadReportPublisher publisher;
+    LoadReportSubscriber subscriber, late_subscriber;
     for (int at = 0; at < 60'000; at += 200) {
         for (auto& [id, worker] : home) {
             if (random() % 2 == 0) continue;
             const std::size_t before = worker.load_report ? worker.load_report->active : 20;
-            worker.take(reading(at, std::min<std::size_t>(capacity, before + random() % 3)));
-            if (random() % 8 == 0) worker.take(reading(at + 1, random() % capacity));
+            worker.apply_report(report(at, std::min<std::size_t>(capacity, before + random() % 3)));
+            if (random() % 8 == 0) worker.apply_report(report(at + 1, random() % capacity));
         }
-        const json message = teller.change(Time(at), "s", views(home));
-        if (at == 20'000) late_listener.take(Time(at), teller.whole(Time(at), "s"), later);
-        listener.take(Time(at), message, near);
-        if (at > 20'000) late_listener.take(Time(at), message, later);
+        const LoadReportUpdate update = publisher.delta(Time(at), "s", views(home));
+        if (at == 20'000) late_subscriber.apply(publisher.snapshot("s"), later);
+        subscriber.apply(update, near);
+        if (at > 20'000) late_subscriber.apply(update, later);
         for (const auto& [id, worker] : home) {
             if (!worker.load_report) continue;
             const LoadReport& truth = *worker.load_report;
@@ -78,72 +82,74 @@
     }
 }
 
-// At rest a message says no more than that nothing has changed, and clears what was dispatched before.
-Test(readings, at_rest_a_message_is_short_and_still_clears_what_it_shows) {
+// While nothing differs an update only confirms, and clears what was dispatched before.
+Test(load_report_feed, an_update_without_differences_is_short_and_clears_older_dispatches) {
     Workers home = some_workers(60), near = some_workers(60);
-    LoadReportPublisher teller;
-    LoadReportSubscriber listener;
+    LoadReportPublisher publisher;
+    LoadReportSubscriber subscriber;
     for (int at = 1000; at < 10'000; at += 400) {
         for (auto& [id, worker] : home)
-            worker.take(reading(at - 100, 5));
+            worker.apply_report(report(at - 100, 5));
         near.at("i-7").note_dispatch(Time(at - 150), 0.1);
         near.at("i-7").note_dispatch(Time(at - 50), 0.1);
-        const json message = teller.change(Time(at), "s", views(home));
-        listener.take(Time(at), message, near);
-        if (at > 1000) cr_assert_lt(message.dump().size(), 70U);
+        const LoadReportUpdate update = publisher.delta(Time(at), "s", views(home));
+        subscriber.apply(update, near);
+        if (at > 1000) cr_assert_lt(encode(update, Time(at)).dump().size(), 70U);
         cr_assert_eq(near.at("i-7").dispatches.size(), 1U, "at %d", at);
     }
 }
 
-// One whose probes are not answered any more does not hold the others back, nor pass for fresh with them.
-Test(readings, a_silent_worker_is_not_vouched_for_with_the_rest) {
+// A worker whose probes are not answered any more neither ages the others nor passes for fresh with them.
+Test(load_report_feed, a_silent_worker_is_not_confirmed_with_the_others) {
     Workers home = some_workers(3), near = some_workers(3);
-    LoadReportPublisher teller;
-    LoadReportSubscriber listener;
+    LoadReportPublisher publisher;
+    LoadReportSubscriber subscriber;
     for (int at = 0; at < 4000; at += 200) {
         for (auto& [id, worker] : home)
-            if (id != "i-1" || at == 0) worker.take(reading(at, 5));
-        listener.take(Time(at), teller.change(Time(at), "s", views(home)), near);
+            if (id != "i-1" || at == 0) worker.apply_report(report(at, 5));
+        subscriber.apply(publisher.delta(Time(at), "s", views(home)), near);
     }
     cr_assert(near.at("i-0").load_report->as_of >= Time(3800));
     cr_assert(near.at("i-1").load_report->as_of <= Time(1000));
     LoadReport dead = *home.at("i-1").load_report;
     dead.as_of = Time(4000);
     dead.answered = false;
-    home.at("i-1").take(dead);
-    listener.take(Time(4000), teller.change(Time(4000), "s", views(home)), near);
+    home.at("i-1").apply_report(dead);
+    subscriber.apply(publisher.delta(Time(4000), "s", views(home)), near);
     cr_assert_not(near.at("i-1").load_report->answered);
 }
 
-// A reading may come before the list that names its worker; and one of a worker that is gone is forgotten.
-Test(readings, of_workers_that_are_not_listed_yet_are_kept_until_they_are_gone) {
+// A report may come before the list that names its worker; that of a removed worker is forgotten.
+Test(load_report_feed, reports_of_unlisted_workers_are_kept_until_removed) {
     Workers home = some_workers(2), near = some_workers(1);
-    LoadReportPublisher teller;
-    LoadReportSubscriber listener;
+    LoadReportPublisher publisher;
+    LoadReportSubscriber subscriber;
     for (auto& [id, worker] : home)
-        worker.take(reading(100, 5));
-    listener.take(Time(100), teller.change(Time(100), "s", views(home)), near);
+        worker.apply_report(report(100, 5));
+    subscriber.apply(publisher.delta(Time(100), "s", views(home)), near);
     near = some_workers(2);
     for (auto& [id, worker] : home)
-        worker.take(reading(300, 5));
-    listener.take(Time(300), teller.change(Time(300), "s", views(home)), near);
+        worker.apply_report(report(300, 5));
+    subscriber.apply(publisher.delta(Time(300), "s", views(home)), near);
     cr_assert(near.at("i-1").load_report && near.at("i-1").load_report->as_of == Time(300));
     home.erase("i-1");
-    const json last = teller.change(Time(500), "s", views(home));
-    cr_assert(last.at("gone") == json::array({"i-1"}));
+    const LoadReportUpdate last = publisher.delta(Time(500), "s", views(home));
+    cr_assert(encode(last, Time(500)).at("gone") == json::array({"i-1"}));
     near.at("i-1").load_report.reset();
-    listener.take(Time(500), last, near);
+    subscriber.apply(last, near);
     cr_assert_not(near.at("i-1").load_report.has_value());
 }
 
-Test(readings, of_the_wrong_shape_change_nothing) {
+Test(load_report_feed, malformed_updates_change_nothing) {
     Workers near = some_workers(1);
-    LoadReportSubscriber listener;
+    LoadReportSubscriber subscriber;
     for (const char* bad : {R"({})", R"({"list":[7]})", R"({"list":[["i-0",1,"many",0,0,0,true]]})",
                             R"({"list":[],"rest_age":"old"})", R"({"list":[],"gone":7})"}) {
+        json message = json::parse(bad);
+        message["type"] = "readings";
         bool thrown = false;
         try {
-            listener.take(Time(9), json::parse(bad), near);
+            subscriber.apply(load_reports::decode_update(message, Time(9)).value(), near);
         } catch (const json::exception&) {
             thrown = true;
         }
--- a/tests/system/routing/routing_test.cpp
+++ b/tests/system/routing/routing_test.cpp
@@ -70,9 +70,9 @@
 
 Test(plud, the_lowest_sum_wins) {
     Scene scene;
-    scene.add("a", "north-a").take(reading(900, 5));
-    scene.add("b", "north-a").take(reading(900, 3));
-    scene.add("c", "north-a").take(reading(900, 4));
+    scene.add("a", "north-a").apply_report(reading(900, 5));
+    scene.add("b", "north-a").apply_report(reading(900, 3));
+    scene.add("c", "north-a").apply_report(reading(900, 4));
     expect_text(scene.choose().c_str(), "b");
 }
 
@@ -83,8 +83,8 @@
     scene.request.prompt.input_tokens = 1000;
     LoadReport waiting = reading(900, 0);
     waiting.queued = 2;
-    scene.add("a", "north-a").take(waiting);
-    scene.add("b", "north-a").take(reading(900, 3));
+    scene.add("a", "north-a").apply_report(waiting);
+    scene.add("b", "north-a").apply_report(reading(900, 3));
     PrefillCost prefill;
     scene.request.prefill = &prefill;
     expect_text(scene.choose(), "a", "nothing is learned yet");
@@ -107,7 +107,7 @@
     for (int i = 0; i < 20; ++i)
         prefill.note_answer(std::chrono::milliseconds(100), 1000);
     scene.request.prefill = &prefill;
-    scene.add("a", "north-a").take(reading(900, 0));
+    scene.add("a", "north-a").apply_report(reading(900, 0));
     const Selection holder =
         scene.selector.choose(Time(1000), scene.workers, scene.request, scene.bounds, scene.cold);
     cr_assert(holder.tier == Tier::cache_holder);
@@ -116,15 +116,15 @@
     // 200 ms of waiting at the holder, then 600, against none at another.
     prefill.note_dispatch(1000);
     LoadReport waiting = reading(950, 0);
-    scene.add("b", "north-a").take(reading(950, 0));
+    scene.add("b", "north-a").apply_report(reading(950, 0));
     const std::string held = scene.choose();
     waiting.as_of = Time(960);
     waiting.queued = 2;
-    scene.workers.at(held).take(waiting);
+    scene.workers.at(held).apply_report(waiting);
     expect_text(scene.choose(), held);
     waiting.as_of = Time(970);
     waiting.queued = 6;
-    scene.workers.at(held).take(waiting);
+    scene.workers.at(held).apply_report(waiting);
     expect_other_text(scene.choose(), held);
     scene.workers.erase("b");
     scene.request.prompt.shared_key.clear();
@@ -147,8 +147,8 @@
     Scene scene;
     scene.route.home_regions = {"south"};
     for (const char* id : {"a", "b", "c", "d"})
-        scene.add(id, "south-a").take(reading(900, 2));
-    scene.add("near", "north-a").take(reading(900, 0));
+        scene.add(id, "south-a").apply_report(reading(900, 2));
+    scene.add("near", "north-a").apply_report(reading(900, 0));
     Selector south{{"south-a", "south", {{"north-a", "north"}, {"south-a", "south"}}}, 2};
     std::set<std::string> holders;
     for (int key = 0; key < 40; ++key) {
@@ -163,7 +163,7 @@
     // One that is loaded is left for others that are as far.
     scene.request.prompt = read_prompt("7:500,cd:1000", "1500,10");
     const std::string holder = scene.choose();
-    scene.workers.at(holder).take(reading(950, 8));
+    scene.workers.at(holder).apply_report(reading(950, 8));
     expect_other_text(scene.choose(), holder);
 }
 
@@ -178,13 +178,13 @@
 
 Test(plud, own_dispatches_count_until_a_report_shows_them) {
     Scene scene;
-    scene.add("a", "north-a").take(reading(900, 0));
-    scene.add("b", "north-a").take(reading(900, 1));
+    scene.add("a", "north-a").apply_report(reading(900, 0));
+    scene.add("b", "north-a").apply_report(reading(900, 1));
     scene.workers["a"].note_dispatch(Time(950), 0.2);
     expect_text(scene.choose().c_str(), "b");
-    scene.workers["a"].take(reading(940, 0)); // from before the dispatch
+    scene.workers["a"].apply_report(reading(940, 0)); // from before the dispatch
     expect_text(scene.choose().c_str(), "b");
-    scene.workers["a"].take(reading(960, 0));
+    scene.workers["a"].apply_report(reading(960, 0));
     expect_text(scene.choose().c_str(), "a");
     cr_assert_eq(scene.workers["a"].degradation(), 0.0);
 }
@@ -192,31 +192,31 @@
 Test(plud, an_older_report_does_not_replace_a_newer_one) {
     Scene scene;
     Worker& worker = scene.add("a", "north-a");
-    worker.take(reading(900, 5));
-    worker.take(reading(800, 1));
+    worker.apply_report(reading(900, 5));
+    worker.apply_report(reading(800, 1));
     cr_assert_eq(worker.load_report->active, 5U);
 }
 
 Test(plud, tiers_rank_by_region_and_by_who_holds_the_prompt) {
     Scene scene;
-    scene.add("far", "south-a").take(reading(900, 0));
-    scene.add("near", "north-b").take(reading(900, 4));
+    scene.add("far", "south-a").apply_report(reading(900, 0));
+    scene.add("near", "north-b").apply_report(reading(900, 4));
     expect_text(scene.choose().c_str(), "near");
-    scene.workers["near"].take(reading(950, 30)); // far over its capacity
+    scene.workers["near"].apply_report(reading(950, 30)); // far over its capacity
     expect_text(scene.choose().c_str(), "far");
 }
 
 Test(plud, kin_of_a_prompt_go_to_one_worker_until_it_is_loaded) {
     Scene scene;
     for (const char* id : {"a", "b", "c", "d"})
-        scene.add(id, "north-a").take(reading(900, 0));
+        scene.add(id, "north-a").apply_report(reading(900, 0));
     scene.request.prompt = read_prompt("0a:100,0b:50,0c:7", "157,20");
     const std::string holder = scene.choose();
     for (int i = 0; i < 20; ++i)
         expect_text(scene.choose().c_str(), holder.c_str());
     scene.request.prompt = read_prompt("0a:100,0b:50,0d:9", "159,20"); // the last part is its own
     expect_text(scene.choose().c_str(), holder.c_str());
-    scene.workers[holder].take(reading(950, 3));
+    scene.workers[holder].apply_report(reading(950, 3));
     expect_other_text(scene.choose().c_str(), holder.c_str());
 }
 
@@ -224,7 +224,7 @@
     Scene north;
     Selector south({"south-a", "south", {{"north-a", "north"}, {"south-a", "south"}}}, 2);
     for (int i = 0; i < 6; ++i)
-        north.add("w" + std::to_string(i), i % 2 == 0 ? "north-a" : "south-a").take(reading(900, 0));
+        north.add("w" + std::to_string(i), i % 2 == 0 ? "north-a" : "south-a").apply_report(reading(900, 0));
     for (int key = 0; key < 30; ++key) {
         north.request.prompt = read_prompt("k" + std::to_string(key) + ":5000,x:1", "5001,10");
         const Selection there =
@@ -241,7 +241,7 @@
         const std::vector<std::string> zones{"north-a", "north-b", "south-a"};
         for (int i = 0; i < 8; ++i) {
             Worker& worker = scene.add("w" + std::to_string(i), zones[random() % 3]);
-            worker.take(reading(900, random() % 15));
+            worker.apply_report(reading(900, random() % 15));
             if (random() % 4 == 0) worker.note_dispatch(Time(950), 0.1 * static_cast<double>(random() % 5));
             if (random() % 5 == 0) worker.instance.state = discovery::InstanceState::draining;
             if (random() % 5 == 0) scene.request.tried.insert(worker.instance.id);
@@ -268,8 +268,8 @@
 
 Test(eligibility, who_failed_or_was_full_comes_last) {
     Scene scene;
-    scene.add("a", "north-a").take(reading(900, 0));
-    scene.add("b", "north-a").take(reading(900, 9));
+    scene.add("a", "north-a").apply_report(reading(900, 0));
+    scene.add("b", "north-a").apply_report(reading(900, 9));
     scene.workers["a"].note_failure(Time(1000));
     expect_text(scene.choose(1001).c_str(), "b");
     scene.workers["b"].note_full(Time(1001));
