--- a/src/scheduler/dispatcher/rules.cpp
+++ b/src/scheduler/dispatcher/rules.cpp
@@ -472,7 +472,7 @@
             if (!shunned) ++able;
             if (!shunned && rest) ++resting;
             const double told_load = load_of(w, job.in.slots, w.degradation) + queue(w, job); // L + X
-            const double score = policy::total(told_load, increment(w, job));
+            const double score = policy::plud_score(told_load, increment(w, job));
             best[shunned ? 2 : rest ? 1 : 0].offer(id, score, [&] { return uniform(); });
         }
         if (able == 0) return best[2].id;
--- a/src/scheduler/load_estimates/books.h
+++ b/src/scheduler/load_estimates/books.h
@@ -105,7 +105,7 @@
         return stuck_slots > 0 ? std::max(1.0, load) + stuck_slots / slots : load;
     }
     void sent(double slots, double step) {
-        degradation = policy::degraded(degradation, step);
+        degradation = policy::degradation_after(degradation, step);
         sent_slots += slots;
         own_slots += slots;
     }
--- a/src/system/budget/cold_budget.cpp
+++ b/src/system/budget/cold_budget.cpp
@@ -5,31 +5,28 @@
 namespace willowrill::budget {
 namespace {
 
-constexpr double used_share = 0.6; // of what the rule allows
-constexpr Time window{1200};       // a second, and what sends of two moments may come together on their way
+constexpr double used_fraction = 0.6; // of what the rule allows
+constexpr Time window{1200};          // a second, and by how much sends of two moments may draw together
 
 } // namespace
 
 bool ColdBudget::allows(Time now, const std::string& worker, double rate_per_s, std::size_t schedulers,
                         std::size_t rank) {
-    const double all = used_share * (rate_per_s * limits_.excess + limits_.slack);
-    const double fair = all / static_cast<double>(std::max<std::size_t>(1, schedulers));
-    const bool few = fair < 1;
-    if (few && static_cast<double>(rank) + 1 > all) return false;
-    const auto most = few ? std::size_t{1} : static_cast<std::size_t>(fair);
-    const auto found = sends_.find(worker);
-    if (found == sends_.end()) return true;
-    std::deque<Time>& times = found->second;
-    while (!times.empty() && now - times.front() > window)
-        times.pop_front();
-    return times.size() < most;
+    const double total = used_fraction * (rate_per_s * limits_.excess + limits_.slack);
+    const double fair_share = total / static_cast<double>(std::max<std::size_t>(1, schedulers));
+    const bool by_rank = fair_share < 1;
+    if (by_rank && static_cast<double>(rank) + 1 > total) return false;
+    const auto max_sends = by_rank ? std::size_t{1} : static_cast<std::size_t>(fair_share);
+    const auto sends = sends_.find(worker);
+    return sends == sends_.end() || sends->second.count(now) < max_sends;
 }
 
-void ColdBudget::note_send(Time now, const std::string& worker) { sends_[worker].push_back(now); }
+void ColdBudget::note_send(Time now, const std::string& worker) {
+    sends_.try_emplace(worker, window).first->second.record(now);
+}
 
 void ColdBudget::sweep(Time now) {
-    std::erase_if(sends_,
-                  [&](const auto& item) { return item.second.empty() || now - item.second.back() > window; });
+    std::erase_if(sends_, [&](const auto& item) { return item.second.empty_at(now); });
 }
 
 } // namespace willowrill::budget
--- a/src/system/budget/retry_budget.h
+++ b/src/system/budget/retry_budget.h
@@ -1,35 +1,33 @@
-// This scheduler's share of a service's budget for repeated requests, which all schedulers spend together: in
-// every window, repeats over all of them stay under `ratio` x requests + `slack`. Pure.
+// This scheduler's share of a service's retry budget, which all schedulers spend together: in every window,
+// retries over all of them stay under `ratio` x requests + `slack`. Pure; one thread.
 #pragma once
 
-#include <chrono>
+#include "system/budget/sliding_window.h"
+
 #include <cstddef>
-#include <deque>
 
 namespace willowrill::budget {
 
-using Time = std::chrono::milliseconds; // steady
-
 struct RetryLimits {
-    double ratio = 0.2;
-    double slack = 0;
+    double ratio = 0.2; // retries to requests
+    double slack = 0;   // retries, over all schedulers
     Time window{10000};
 };
 
 class RetryBudget {
   public:
-    explicit RetryBudget(RetryLimits limits) : limits_(limits) {}
+    explicit RetryBudget(RetryLimits limits)
+        : limits_(limits), requests_(limits.window), retries_(limits.window) {}
 
-    void note_request(Time now);
-    // Takes one repeat where the share allows it. `schedulers`: how many share the budget.
+    // A client's request has come.
+    void note_request(Time now) { requests_.record(now); }
+    // Takes one retry where the share allows it. `schedulers`: how many share the budget.
     bool take(Time now, std::size_t schedulers);
 
   private:
-    void forget(Time now);
-
     RetryLimits limits_;
-    // Times within the window; bounded by what one scheduler serves in a window.
-    std::deque<Time> requests_, repeats_;
+    SlidingWindow requests_;
+    SlidingWindow retries_;
 };
 
 } // namespace willowrill::budget
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -171,8 +171,7 @@
         const configuration::Service* service =
             context_.active_configuration->configuration.find_service(worker.instance.service);
         if (service == nullptr || service->cold_rate_per_s <= 0) continue;
-        worker.warming_until =
-            std::max(worker.warming_until, steady_now() + service->cold_start + cold_unknown);
+        worker.extend_warming(steady_now() + service->cold_start + cold_unknown);
     }
 }
 
@@ -199,8 +198,7 @@
         listed.insert(instance.id);
         routing::Worker& worker = context_.workers[instance.id];
         worker.instance = instance;
-        if (instance.cold_remaining.count() > 0)
-            worker.warming_until = std::max(worker.warming_until, now + instance.cold_remaining);
+        if (instance.cold_remaining.count() > 0) worker.extend_warming(now + instance.cold_remaining);
     }
     std::erase_if(context_.workers, [&](const auto& item) {
         return item.second.instance.zone == list.zone && !listed.contains(item.first);
--- a/src/system/data/exchange.cpp
+++ b/src/system/data/exchange.cpp
@@ -32,7 +32,7 @@
     routing_request_.route = &route;
     if (route.affinity)
         routing_request_.prompt =
-            routing::read_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
+            routing::parse_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
 }
 
 Time Exchange::left() const { return deadline_ - steady_now(); }
@@ -199,16 +199,16 @@
     routing::Worker& chosen = *selection.worker;
     note_choice(selection);
     tier_ = selection.tier;
-    tokens_to_read_ = selection.tokens_to_read;
-    nothing_waits_ = selection.nothing_waits;
+    tokens_to_read_ = selection.tokens_to_prefill;
+    nothing_waits_ = selection.queue_empty;
     if (service_->has_engine) context_.prefill_costs[service_->name].note_dispatch(tokens_to_read_);
     const std::string id = chosen.instance.id, address = chosen.instance.address;
     const std::size_t shares = std::max<std::size_t>(1, context_.schedulers);
     const std::size_t most_open = std::max<std::size_t>(4, service_->max_connections * 3 / 4 / shares);
     // Counted before anything is awaited, so that requests of the same moment see each other.
-    chosen.note_dispatch(steady_now(), selection.step);
+    chosen.note_dispatch(steady_now(), selection.load_increment);
     ++chosen.in_flight;
-    if (steady_now() < chosen.warming_until) context_.cold.note_send(steady_now(), id);
+    if (chosen.warming(steady_now())) context_.cold.note_send(steady_now(), id);
     const auto outgoing = std::make_shared<OutgoingRequest>();
     outgoing->bytes = request_for(chosen);
 
--- a/src/system/data/load_report_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 LoadReportExchange::LoadReportExchange(Context& context, const std::string& host, std::uint16_t port)
-    : context_(context), timer_(context.loop), assignment_(context.selector.place()),
+    : context_(context), timer_(context.loop), assignment_(context.selector.location()),
       prober_(context, assignment_), publication_(context, assignment_, host, port) {
     tick();
 }
--- a/src/system/data/probe_assignment.h
+++ b/src/system/data/probe_assignment.h
@@ -3,7 +3,8 @@
 #pragma once
 
 #include "system/membership/lease_table.h"
-#include "system/routing/selector.h"
+#include "system/routing/location.h"
+#include "system/routing/worker.h"
 
 #include <set>
 #include <string>
@@ -13,8 +14,8 @@
 
 class ProbeAssignment {
   public:
-    // `place`: of this scheduler; must outlive the assignment.
-    explicit ProbeAssignment(const routing::Place& place) : place_(place) {}
+    // `location`: of this scheduler; must outlive the assignment.
+    explicit ProbeAssignment(const routing::Location& location) : location_(location) {}
 
     void set_members(const std::vector<membership::Lease>& members) { members_ = members; }
     const std::vector<membership::Lease>& members() const { return members_; }
@@ -25,7 +26,7 @@
     bool contains(const routing::Worker& worker) const;
 
   private:
-    const routing::Place& place_;
+    const routing::Location& location_;
     std::vector<membership::Lease> members_; // the schedulers that are alive
     std::set<std::string> home_services_;    // by name
 };
--- a/src/system/routing/prefill_cost.cpp
+++ b/src/system/routing/prefill_cost.cpp
@@ -3,34 +3,35 @@
 namespace willowrill::routing {
 namespace {
 
-constexpr int enough_answers = 8;
-constexpr double weight_of_newest = 0.05;
+constexpr int min_answers = 8;
+constexpr double newest_weight = 0.05;
 
-void move(double& average, double value, bool first) {
-    average = first ? value : average + weight_of_newest * (value - average);
+void update_average(double& average, double value, bool first) {
+    average = first ? value : average + newest_weight * (value - average);
 }
 
 } // namespace
 
 void PrefillCost::note_dispatch(std::uint64_t tokens) {
-    move(sent_tokens_, static_cast<double>(tokens), sent_tokens_ == 0);
+    update_average(sent_tokens_, static_cast<double>(tokens), sent_tokens_ == 0);
 }
 
 void PrefillCost::note_answer(std::chrono::milliseconds wait, std::uint64_t tokens) {
     if (tokens == 0) return;
-    move(wait_ms_, static_cast<double>(wait.count()), answers_ == 0);
-    move(read_tokens_, static_cast<double>(tokens), answers_ == 0);
-    if (answers_ < enough_answers) ++answers_;
+    update_average(wait_ms_, static_cast<double>(wait.count()), answers_ == 0);
+    update_average(prefilled_tokens_, static_cast<double>(tokens), answers_ == 0);
+    if (answers_ < min_answers) ++answers_;
 }
 
-double PrefillCost::per_token() const {
-    return answers_ < enough_answers || read_tokens_ <= 0 ? 0 : wait_ms_ / read_tokens_;
+double PrefillCost::milliseconds_per_token() const {
+    if (answers_ < min_answers || prefilled_tokens_ <= 0) return 0;
+    return wait_ms_ / prefilled_tokens_;
 }
 
 double PrefillCost::milliseconds(std::uint64_t tokens) const {
-    return static_cast<double>(tokens) * per_token();
+    return static_cast<double>(tokens) * milliseconds_per_token();
 }
 
-double PrefillCost::mean_milliseconds() const { return sent_tokens_ * per_token(); }
+double PrefillCost::mean_milliseconds() const { return sent_tokens_ * milliseconds_per_token(); }
 
 } // namespace willowrill::routing
--- a/src/system/routing/prefill_cost.h
+++ b/src/system/routing/prefill_cost.h
@@ -1,5 +1,5 @@
-// How long a model's workers take to read prompts, learned from answers of workers at which nothing else
-// waited. Pure.
+// How long a model's workers take to prefill prompts, learned from responses of workers at which nothing else
+// waited. Pure; one thread.
 #pragma once
 
 #include <chrono>
@@ -9,23 +9,23 @@
 
 class PrefillCost {
   public:
-    // A request with so many prompt tokens to be read was sent.
+    // A request with so many prompt tokens to prefill was sent.
     void note_dispatch(std::uint64_t tokens);
-    // One that nothing waited before began its answer after so long.
+    // A request that nothing waited before began its response after `wait`.
     void note_answer(std::chrono::milliseconds wait, std::uint64_t tokens);
 
-    // Of a prompt with so many tokens to be read; 0 until enough answers were seen.
+    // The cost in milliseconds of so many prompt tokens; 0 until enough responses were seen.
     double milliseconds(std::uint64_t tokens) const;
-    // Of a request as they come; 0 likewise.
+    // The cost in milliseconds of the average request sent; 0 likewise.
     double mean_milliseconds() const;
 
   private:
-    double per_token() const;
+    double milliseconds_per_token() const;
 
-    int answers_ = 0;
+    int answers_ = 0; // counted up to the number that is enough
     // Moving averages; the cost of a token is the ratio of the first two.
     double wait_ms_ = 0;
-    double read_tokens_ = 0;
+    double prefilled_tokens_ = 0;
     double sent_tokens_ = 0;
 };
 
--- a/src/system/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -7,14 +7,15 @@
 namespace willowrill::routing {
 namespace {
 
-constexpr Time first_rest{500};
-constexpr Time longest_rest{4000};
-constexpr Time full_rest{150};
+constexpr Time initial_ejection{500};
+constexpr Time max_ejection{4000};
+constexpr int max_ejection_doublings = 3;
+constexpr Time saturation_time{150};
+constexpr std::size_t max_dispatches = 256; // older ones have long been started
 
 } // namespace
 
-// The share of the places taken, or of the memory that cannot give way, whichever is higher.
-double Worker::load() const {
+double Worker::reported_load() const {
     const auto capacity = static_cast<double>(std::max<std::size_t>(1, instance.capacity));
     const double own = static_cast<double>(in_flight) / capacity;
     if (!load_report) return own;
@@ -25,10 +26,10 @@
     return std::max(out, own);
 }
 
-double Worker::degradation() const {
+double Worker::dispatch_degradation() const {
     double out = 0;
     for (const Dispatch& dispatch : dispatches)
-        out = policy::degraded(out, dispatch.step);
+        out = policy::degradation_after(out, dispatch.load_increment);
     return out;
 }
 
@@ -39,23 +40,24 @@
         dispatches.pop_front();
 }
 
-void Worker::note_dispatch(Time now, double step) {
-    constexpr std::size_t most_dispatches = 256; // older ones are long at work
-    dispatches.push_back({now, step});
-    if (dispatches.size() > most_dispatches) dispatches.pop_front();
+void Worker::note_dispatch(Time now, double load_increment) {
+    dispatches.push_back({now, load_increment});
+    if (dispatches.size() > max_dispatches) dispatches.pop_front();
 }
 
 void Worker::note_success() {
     failures = 0;
-    ejected_until = Time{-1};
+    ejected_until.reset();
 }
 
 void Worker::note_failure(Time now) {
-    const Time rest = std::min(longest_rest, first_rest * (1 << std::min(failures, 3)));
+    const int doublings = std::min(failures, max_ejection_doublings);
+    ejected_until = now + std::min(max_ejection, initial_ejection * (1 << doublings));
     ++failures;
-    ejected_until = now + rest;
 }
 
-void Worker::note_full(Time now) { saturated_until = now + full_rest; }
+void Worker::note_full(Time now) { saturated_until = now + saturation_time; }
+
+void Worker::extend_warming(Time until) { warming_until = std::max(warming_until.value_or(until), until); }
 
 } // namespace willowrill::routing
--- a/src/system/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -1,5 +1,5 @@
 // One worker as this scheduler knows it: what the platform lists, what its last report said (L), what was
-// dispatched since (X), and what failed. Pure.
+// dispatched since (X), and what failed. All times are steady. Pure; one thread.
 #pragma once
 
 #include "system/discovery/instances.h"
@@ -18,36 +18,46 @@
     Time as_of{0}; // when the worker was in that state, at the latest
     std::size_t active = 0;
     std::size_t queued = 0;
-    std::uint64_t cache_used = 0;
-    std::uint64_t cache_total = 0;
-    bool answered = true; // false: the prober got no answer, several times in a row
+    std::uint64_t cache_used = 0;  // tokens
+    std::uint64_t cache_total = 0; // tokens; 0: the worker has no cache
+    bool answered = true;          // false: the prober got no answer, several times in a row
 };
 
 struct Dispatch {
     Time at{0};
-    double step = 0;
+    double load_increment = 0;
 };
 
 struct Worker {
     discovery::Instance instance;
-    Time warming_until{-1};
+    std::optional<Time> warming_until;
     std::optional<LoadReport> load_report;
-    std::deque<Dispatch> dispatches; // not shown by the report yet; their steps are X
-    std::size_t in_flight = 0;       // of this scheduler's requests
-    Time ejected_until{-1};          // failed to answer this scheduler
-    int failures = 0;                // in a row
-    Time saturated_until{-1};        // turned a request away
+    std::deque<Dispatch> dispatches;     // not shown by the report yet; their increments are X
+    std::size_t in_flight = 0;           // of this scheduler's requests
+    std::optional<Time> ejected_until;   // failed to answer this scheduler
+    int failures = 0;                    // in a row
+    std::optional<Time> saturated_until; // rejected a request
     bool replaced = false; // another instance answers at its address: it never comes back under this id
 
-    double load() const;
-    double degradation() const;
-    // A fresh report clears what it shows of X.
+    // L: the share of the capacity in use, or of the cache that cannot be evicted, whichever is higher.
+    double reported_load() const;
+    // X: what the dispatches add that the report does not show yet.
+    double dispatch_degradation() const;
+
+    // An older report than the one known is ignored; a newer one clears what it shows of X.
     void apply_report(const LoadReport& fresh);
-    void note_dispatch(Time now, double step);
+    void note_dispatch(Time now, double load_increment);
     void note_success();
+    // Ejects the worker, for longer with each failure in a row.
     void note_failure(Time now);
+    // The worker rejected a request for want of capacity.
     void note_full(Time now);
+    // Warming up lasts until then, or longer where that is known already.
+    void extend_warming(Time until);
+
     bool ejected(Time now) const { return now < ejected_until || (load_report && !load_report->answered); }
+    bool saturated(Time now) const { return now < saturated_until; }
+    bool warming(Time now) const { return now < warming_until; }
 };
 
 } // namespace willowrill::routing
--- a/tests/system/data/exchange_test.cpp
+++ b/tests/system/data/exchange_test.cpp
@@ -76,7 +76,7 @@
         }
         reusable = exchange.reusable();
         for (auto& [id_of, worker] : context->workers)
-            worker.ejected_until = worker.saturated_until = routing::Time(-1);
+            worker.ejected_until = worker.saturated_until = std::nullopt;
         return std::exchange(got, {}) + available();
     }
 
