--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -264,7 +264,7 @@
 void ControlPlane::adopt_scheduler(const transport::FrameConnectionPtr& connection,
                                    distribution::SessionId id) {
     schedulers_[id] = connection;
-    connection->count_into(counter("scheduler", metrics::Crossing::unknown));
+    connection->observe_sent_frames(counter("scheduler", metrics::Crossing::unknown));
     hub_.adopt(id);
 }
 
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -8,10 +8,11 @@
 #include "system/control/list_owners.h"
 #include "system/control/operator_api.h"
 #include "system/distribution/scheduler_hub.h"
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
 #include "system/transport/frame_connection.h"
+#include "system/transport/frame_listener.h"
 
 #include <map>
 #include <memory>
--- a/src/system/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -1,6 +1,7 @@
 #include "system/control/core_mesh.h"
 
 #include "system/settings/settings.h"
+#include "system/transport/dial.h"
 
 #include <utility>
 
@@ -39,7 +40,7 @@
                         link.dialling = false;
                         if (!connection) return;
                         link.connection = connection;
-                        connection->count_into(callbacks_.counter(member));
+                        connection->observe_sent_frames(callbacks_.counter(member));
                         connection->start([](const nlohmann::json&) {},
                                           [this, member] {
                                               links_[member].connection = nullptr;
--- a/src/system/control/operator_api.h
+++ b/src/system/control/operator_api.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "system/control/core_node.h"
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/metrics/metrics.h"
 
 #include <set>
--- a/src/system/control/platform_reader.h
+++ b/src/system/control/platform_reader.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "system/discovery/instances.h"
-#include "system/http/client.h"
+#include "system/http_client/client.h"
 #include "system/metrics/metrics.h"
 #include "system/ownership/ownership.h"
 #include "system/settings/settings.h"
--- a/src/system/data/core_connection.cpp
+++ b/src/system/data/core_connection.cpp
@@ -1,6 +1,7 @@
 #include "system/data/core_connection.h"
 
 #include "system/distribution/push_messages.h"
+#include "system/transport/dial.h"
 #include "system/transport/process.h"
 
 #include <utility>
--- a/src/system/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -8,7 +8,7 @@
 #include "system/data/load_report_exchange.h"
 #include "system/discovery/instances.h"
 #include "system/distribution/held_members.h"
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/membership/lease_table.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
--- a/src/system/data/exchange.cpp
+++ b/src/system/data/exchange.cpp
@@ -1,6 +1,6 @@
 #include "system/data/exchange.h"
 
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/ownership/ownership.h"
 
 #include <algorithm>
--- a/src/system/data/front.cpp
+++ b/src/system/data/front.cpp
@@ -1,7 +1,7 @@
 #include "system/data/front.h"
 
 #include "system/data/exchange.h"
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/transport/socket_options.h"
 
 #include <fmt/format.h>
@@ -183,7 +183,7 @@
         if (!shared->acceptor.is_open()) return;
         const std::size_t most = shared->context.settings.most_files - descriptors_for_others;
         if (!error && shared->open < most / 2) {
-            transport::prepare(socket, unacknowledged);
+            transport::configure_socket(socket, unacknowledged);
             auto session = std::make_shared<ClientSession<Shared>>(shared, std::move(socket));
             asio::co_spawn(shared->context.loop, ClientSession<Shared>::run(session),
                            [](const std::exception_ptr& failure) {
--- a/src/system/data/load_prober.h
+++ b/src/system/data/load_prober.h
@@ -5,7 +5,7 @@
 
 #include "system/data/context.h"
 #include "system/data/probe_assignment.h"
-#include "system/http/client.h"
+#include "system/http_client/client.h"
 
 #include <cstddef>
 #include <map>
--- a/src/system/data/load_report_publication.cpp
+++ b/src/system/data/load_report_publication.cpp
@@ -67,7 +67,7 @@
                                              const SubscribeRequest& request) {
     const char* crossing = metrics::name_of(
         metrics::crossing(context_.settings.zone, context_.settings.region, request.zone, request.region));
-    connection->count_into([this, crossing](std::size_t bytes) {
+    connection->observe_sent_frames([this, crossing](std::size_t bytes) {
         context_.metrics.add(metrics::Total::internal_bytes, "readings", crossing,
                              static_cast<double>(bytes));
         context_.metrics.add(metrics::Total::internal_messages, "readings", crossing);
--- a/src/system/data/load_report_publication.h
+++ b/src/system/data/load_report_publication.h
@@ -8,6 +8,7 @@
 #include "system/load_reports/load_report_codec.h"
 #include "system/load_reports/load_report_publisher.h"
 #include "system/transport/frame_connection.h"
+#include "system/transport/frame_listener.h"
 
 #include <cstdint>
 #include <map>
--- a/src/system/data/main.cpp
+++ b/src/system/data/main.cpp
@@ -14,7 +14,7 @@
 int serve(const settings::Settings& settings, const std::string& path, std::uint16_t metrics_port) {
     asio::io_context loop(1);
     data::DataPlane plane(loop, settings, path, metrics_port);
-    transport::run_until_it_leaves(loop, plane);
+    transport::run_until_shutdown(loop, plane);
     return 0;
 }
 
--- a/src/system/data/subscription.cpp
+++ b/src/system/data/subscription.cpp
@@ -1,6 +1,7 @@
 #include "system/data/subscription.h"
 
 #include "system/load_reports/load_report_codec.h"
+#include "system/transport/dial.h"
 
 #include <utility>
 
--- a/src/system/data/worker_pool.cpp
+++ b/src/system/data/worker_pool.cpp
@@ -53,7 +53,7 @@
         forget(address);
         co_return nullptr;
     }
-    transport::prepare(connection->socket, unacknowledged);
+    transport::configure_socket(connection->socket, unacknowledged);
     co_return connection;
 }
 
--- a/src/system/http/client.cpp
+++ b/src/system/http_client/client.cpp
@@ -1,4 +1,4 @@
-#include "system/http/client.h"
+#include "system/http_client/client.h"
 
 #include "system/transport/socket_options.h"
 
@@ -7,7 +7,8 @@
 namespace willowrill::http_client {
 namespace {
 
-constexpr std::uint64_t longest_body = 8U << 20U;
+constexpr std::uint64_t max_body_bytes = 8U << 20U;
+constexpr unsigned http_version = 11; // 1.1, as Beast writes it
 
 } // namespace
 
@@ -16,45 +17,56 @@
 
 void Client::get(const std::string& target, std::chrono::milliseconds timeout, OnResponse done) {
     done_ = std::move(done);
-    const std::uint64_t serial = ++serial_;
+    ++request_number_;
     if (!connection_) connection_ = std::make_shared<Connection>(loop_);
     const auto connection = connection_;
-    connection->request = {http::verb::get, target, 11};
+    connection->request = {http::verb::get, target, http_version};
     connection->request.set(http::field::host, host_ + ":" + std::to_string(port_));
     connection->stream.expires_after(timeout);
-    if (connection->connected) return write();
+    if (connection->connected)
+        write();
+    else
+        connect(connection, timeout);
+}
+
+void Client::connect(const std::shared_ptr<Connection>& connection, std::chrono::milliseconds timeout) {
     ErrorCode malformed;
     const auto address = asio::ip::make_address(host_, malformed);
     if (malformed) return asio::post(loop_, [self = shared_from_this()] { self->finish(false); });
-    connection->stream.async_connect(Tcp::endpoint(address, port_), [self = shared_from_this(), connection,
-                                                                     serial, timeout](ErrorCode error) {
-        if (serial != self->serial_) return;
+    const auto on_connected = [self = shared_from_this(), connection, number = request_number_,
+                               timeout](ErrorCode error) {
+        if (number != self->request_number_) return;
         if (error) return self->finish(false);
-        transport::prepare(connection->stream.socket(), timeout);
+        transport::configure_socket(connection->stream.socket(), timeout);
         connection->connected = true;
         self->write();
-    });
+    };
+    connection->stream.async_connect(Tcp::endpoint(address, port_), on_connected);
 }
 
 void Client::write() {
-    const std::uint64_t serial = serial_;
     const auto connection = connection_;
-    const auto on_read = [self = shared_from_this(), connection, serial](ErrorCode error, std::size_t) {
-        if (serial == self->serial_) self->finish(!error);
-    };
-    const auto on_written = [self = shared_from_this(), connection, serial, on_read](ErrorCode error,
-                                                                                     std::size_t) {
-        if (serial != self->serial_) return;
+    const auto on_written = [self = shared_from_this(), connection,
+                             number = request_number_](ErrorCode error, std::size_t /*bytes*/) {
+        if (number != self->request_number_) return;
         if (error) return self->finish(false);
-        connection->parser.emplace();
-        connection->parser->body_limit(longest_body);
-        http::async_read(connection->stream, connection->buffer, *connection->parser, on_read);
+        self->read(connection, number);
     };
     http::async_write(connection->stream, connection->request, on_written);
 }
 
+void Client::read(const std::shared_ptr<Connection>& connection, std::uint64_t request_number) {
+    connection->parser.emplace();
+    connection->parser->body_limit(max_body_bytes);
+    const auto on_read = [self = shared_from_this(), connection, request_number](ErrorCode error,
+                                                                                 std::size_t /*bytes*/) {
+        if (request_number == self->request_number_) self->finish(!error);
+    };
+    http::async_read(connection->stream, connection->buffer, *connection->parser, on_read);
+}
+
 void Client::finish(bool answered) {
-    ++serial_;
+    ++request_number_;
     const OnResponse done = std::exchange(done_, nullptr);
     std::optional<Response> response;
     if (answered) response = connection_->parser->release();
@@ -66,7 +78,7 @@
 }
 
 void Client::close() {
-    ++serial_;
+    ++request_number_;
     done_ = nullptr;
     if (!connection_) return;
     connection_->stream.close();
--- /dev/null
+++ b/src/system/http_client/client.h
@@ -0,0 +1,59 @@
+// A client for one HTTP/1.1 server, given by its address: one kept connection, one request at a time, each
+// with a timeout. Does not resolve names, follow redirects or retry. One thread, that of the loop; callbacks
+// come from the loop, never from inside a call.
+#pragma once
+
+#include "system/transport/asio.h"
+
+#include <chrono>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+namespace willowrill::http_client {
+
+using Response = http::response<http::string_body>;
+// Null where no complete response came in time. The response is valid during the call only.
+using OnResponse = std::function<void(const Response*)>;
+
+// Must be owned by a std::shared_ptr: operations under way keep it alive.
+class Client : public std::enable_shared_from_this<Client> {
+  public:
+    // `loop` must outlive the client. `host`: an IP address; where it does not parse, every request fails.
+    Client(asio::io_context& loop, std::string host, std::uint16_t port);
+
+    // Sends a request; `done` is called once, unless `close` comes first. Must not be called while `busy`.
+    // `timeout`: from now to the complete response, a new connection included.
+    void get(const std::string& target, std::chrono::milliseconds timeout, OnResponse done);
+    // Whether a request is under way.
+    bool busy() const { return done_ != nullptr; }
+    // Ends the connection; the callback of a request under way is not called any more.
+    void close();
+
+  private:
+    // Shared with the operations under way, which may end only after the client has dropped it.
+    struct Connection {
+        explicit Connection(asio::io_context& loop) : stream(loop) {}
+        beast::tcp_stream stream;
+        bool connected = false;
+        http::request<http::empty_body> request;
+        beast::flat_buffer buffer;
+        std::optional<http::response_parser<http::string_body>> parser;
+    };
+
+    void connect(const std::shared_ptr<Connection>& connection, std::chrono::milliseconds timeout);
+    void write();
+    void read(const std::shared_ptr<Connection>& connection, std::uint64_t request_number);
+    void finish(bool answered);
+
+    std::string host_;
+    std::uint16_t port_;
+    asio::io_context& loop_;
+    std::shared_ptr<Connection> connection_;
+    OnResponse done_;
+    std::uint64_t request_number_ = 0; // of the request under way; handlers of an older one do nothing
+};
+
+} // namespace willowrill::http_client
--- /dev/null
+++ b/src/system/http_server/responses.cpp
@@ -0,0 +1,32 @@
+#include "system/http_server/responses.h"
+
+#include <nlohmann/json.hpp>
+
+#include <utility>
+
+namespace willowrill::http_server {
+namespace {
+
+constexpr const char* retry_after_s = "0.2";
+
+} // namespace
+
+Response json_response(const Request& request, unsigned status, std::string body) {
+    Response response;
+    response.version(request.version());
+    response.result(status);
+    response.set(http::field::content_type, "application/json");
+    response.body() = std::move(body);
+    return response;
+}
+
+Response error_response(const Request& request, const errors::Error& error) {
+    const errors::Answer answer = errors::answer_to(error.kind);
+    const nlohmann::json body{{"error", std::string(answer.reason)}, {"detail", error.detail}};
+    Response response = json_response(request, answer.status,
+                                      body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+    if (answer.retry_after) response.set(http::field::retry_after, retry_after_s);
+    return response;
+}
+
+} // namespace willowrill::http_server
--- /dev/null
+++ b/src/system/http_server/session.h
@@ -0,0 +1,45 @@
+// One client's connection to an HTTP server: reads a request, hands it over, writes the response, and so on.
+// Keeps itself alive while an operation is under way. One thread, that of the loop.
+#pragma once
+
+#include "system/http_server/messages.h"
+#include "system/http_server/options.h"
+#include "system/transport/asio.h"
+
+#include <cstddef>
+#include <memory>
+#include <optional>
+
+namespace willowrill::http_server {
+
+// What the sessions of one server share; outlives the server for as long as one of them is open.
+struct SessionContext {
+    Options options;
+    Handler handler;
+    std::size_t open_sessions = 0;
+};
+
+class Session : public std::enable_shared_from_this<Session> {
+  public:
+    Session(std::shared_ptr<SessionContext> context, Tcp::socket socket);
+    ~Session();
+    Session(const Session&) = delete;
+    Session& operator=(const Session&) = delete;
+
+    // Reads the next request.
+    void read();
+
+  private:
+    void on_read(ErrorCode error);
+    // `last`: the connection ends after this response.
+    void write(Response response, bool last);
+    void on_written(ErrorCode error, bool last);
+
+    std::shared_ptr<SessionContext> context_;
+    beast::tcp_stream stream_;
+    beast::flat_buffer buffer_;
+    std::optional<http::request_parser<http::string_body>> parser_;
+    Response response_;
+};
+
+} // namespace willowrill::http_server
--- a/src/system/metrics/metrics.h
+++ b/src/system/metrics/metrics.h
@@ -1,5 +1,5 @@
-// Figures that a process tells of itself, in Prometheus' text format. The closed list of what is counted
-// stands here, with its labels; prometheus-cpp keeps the values. One thread.
+// The metrics of a process, in Prometheus' text format. The closed list of what is measured is here, its
+// names and labels in metrics.cpp; prometheus-cpp keeps the values. One thread.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 namespace willowrill::metrics {
 
-// Totals; the labels are named in metrics.cpp.
+// Counters.
 enum class Total {
     requests,          // of clients, by outcome
     attempts,          // requests sent to workers, by outcome
@@ -26,14 +26,14 @@
     platform_calls,    // by result
 };
 
-// Distributions of times.
+// Histograms of times.
 enum class Duration {
     first_event_wait, // of answered attempts, by tier and by whether it was the first attempt
     reading_age,      // of the load reading that a choice went by
     order_wait,       // of operators' orders, by kind
 };
 
-// Values as of now.
+// Gauges.
 enum class Level { sessions, is_primary, epoch, workers, members };
 
 // Where a message goes, seen from its sender.
@@ -49,7 +49,8 @@
     Metrics(const Metrics&) = delete;
     Metrics& operator=(const Metrics&) = delete;
 
-    // Label values in the order of the table; a total with one label leaves the second empty.
+    // `first`, `second`: label values in the order of the table; a counter with one label leaves the second
+    // empty.
     void add(Total total, std::string_view first = {}, std::string_view second = {}, double amount = 1);
     void observe(Duration duration, std::chrono::milliseconds value, std::string_view first = {},
                  std::string_view second = {});
--- a/src/system/metrics/metrics_server.cpp
+++ b/src/system/metrics/metrics_server.cpp
@@ -1,6 +1,6 @@
 #include "system/metrics/metrics_server.h"
 
-#include <fmt/format.h>
+#include "system/logging/log.h"
 
 #include <utility>
 
@@ -22,8 +22,7 @@
     try {
         server_.emplace(loop, host, port, http_server::Options{}, handler);
     } catch (const std::exception& error) {
-        fmt::print(stderr, "level=warning event=metrics-not-served port={} detail=\"{}\"\n", port,
-                   error.what());
+        logging::warning("metrics-not-served").field("port", port).text("detail", error.what());
     }
 }
 
--- a/src/system/metrics/metrics_server.h
+++ b/src/system/metrics/metrics_server.h
@@ -1,7 +1,7 @@
-// Serves a process's figures at a port of its own. One thread.
+// Serves a process's metrics at a port of its own. One thread, that of the loop.
 #pragma once
 
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/metrics/metrics.h"
 
 #include <functional>
@@ -15,7 +15,8 @@
 class MetricsServer {
   public:
     // Port 0: there is no server. Where the port cannot be had, says so in the log and serves nothing:
-    // figures are worth no failed start. `refresh`: called before each answer, to set levels.
+    // metrics are worth no failed start. `metrics` must outlive the loop's last run. `refresh`: called before
+    // each response, to set gauges.
     MetricsServer(asio::io_context& loop, const std::string& host, std::uint16_t port, Metrics& metrics,
                   std::function<void()> refresh);
 
--- a/src/system/stream/event_splitter.cpp
+++ b/src/system/stream/event_splitter.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 bool EventSplitter::append(std::string_view bytes) {
-    if (rest_.size() + bytes.size() > longest_event) return false;
+    if (rest_.size() + bytes.size() > max_event_bytes) return false;
     rest_.append(bytes);
     return true;
 }
@@ -27,11 +27,11 @@
     const std::size_t end = end_of_events(rest_);
     std::string out = rest_.substr(0, end);
     rest_.erase(0, end);
-    note_ids(out);
+    record_ids(out);
     return out;
 }
 
-void EventSplitter::note_ids(std::string_view events) {
+void EventSplitter::record_ids(std::string_view events) {
     while (!events.empty()) {
         std::string_view line = events.substr(0, events.find('\n'));
         events.remove_prefix(std::min(events.size(), line.size() + 1));
--- a/src/system/transport/socket_options.cpp
+++ b/src/system/transport/socket_options.cpp
@@ -7,18 +7,18 @@
 
 namespace willowrill::transport {
 
-void prepare(Tcp::socket& socket, std::chrono::milliseconds unacknowledged) {
+void configure_socket(Tcp::socket& socket, std::chrono::milliseconds unacknowledged_timeout) {
     ErrorCode ignored;
     socket.set_option(Tcp::no_delay(true), ignored);
-    const auto timeout = static_cast<unsigned>(unacknowledged.count());
-    ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof timeout);
+    const auto timeout_ms = static_cast<unsigned>(unacknowledged_timeout.count());
+    ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof timeout_ms);
 }
 
 Pending pending(Tcp::socket& socket) {
     char byte = 0;
-    const ssize_t n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n > 0) return Pending::bytes;
-    const bool none = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+    const ssize_t received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (received > 0) return Pending::bytes;
+    const bool none = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
     return none ? Pending::nothing : Pending::ended;
 }
 
--- a/src/system/transport/socket_options.h
+++ b/src/system/transport/socket_options.h
@@ -1,4 +1,5 @@
-// Options of TCP sockets that go beyond Asio's portable ones.
+// Options of TCP sockets that go beyond Asio's portable ones. To be called by the thread that owns the
+// socket.
 #pragma once
 
 #include "system/transport/asio.h"
@@ -7,16 +8,18 @@
 
 namespace willowrill::transport {
 
-// No delay of small writes, and a peer that acknowledges nothing for so long is taken for gone: a machine
-// without power says nothing, and a write to it would hang.
-void prepare(Tcp::socket& socket, std::chrono::milliseconds unacknowledged);
+// Small writes are sent without delay, and a connection whose peer acknowledges nothing for that time fails:
+// a machine without power says nothing, and a write to it would hang. Errors are ignored: the first use of a
+// broken socket shows them.
+void configure_socket(Tcp::socket& socket, std::chrono::milliseconds unacknowledged_timeout);
 
-// What stands at a socket whose wait for reading came to an end, without reading it.
+// What there is to read at a socket.
 enum class Pending {
     nothing, // a spurious wake-up: bytes that were read meanwhile
     bytes,
     ended // by the peer, or by an error
 };
+// Looks without reading, and without waiting.
 Pending pending(Tcp::socket& socket);
 
 } // namespace willowrill::transport
--- a/tests/system/stream/stream_test.cpp
+++ b/tests/system/stream/event_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Streams of events, cut at every byte, against a plain reading of the whole.
+// Streams of events, cut at every byte, against a plain reading of the complete stream.
 #include "system/stream/event_splitter.h"
 
 #include "support/expect.h"
@@ -10,7 +10,7 @@
 
 using willowrill::stream::EventSplitter;
 
-Test(splitter, whole_events_come_out_whatever_the_pieces) {
+Test(event_splitter, complete_events_come_out_whatever_the_pieces) {
     const std::string all = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\ndata: c\n\n";
     std::mt19937_64 random(2);
     for (int round = 0; round < 300; ++round) {
@@ -29,7 +29,7 @@
 }
 
 // A stream that breaks off at any byte: what was passed on ends with a whole event, and its id is known.
-Test(splitter, a_break_anywhere_leaves_whole_events_and_their_last_id) {
+Test(event_splitter, a_break_anywhere_leaves_complete_events_and_their_last_id) {
     std::string all;
     for (int id = 1; id <= 5; ++id)
         all += "id: " + std::to_string(id) + "\ndata: piece " + std::to_string(id) + "\n\n";
@@ -49,9 +49,9 @@
     }
 }
 
-Test(splitter, an_event_beyond_all_bounds_is_refused) {
+Test(event_splitter, an_event_beyond_the_bound_is_rejected) {
     EventSplitter splitter;
-    const std::string piece(willowrill::stream::longest_event / 2 + 1, 'x');
+    const std::string piece(willowrill::stream::max_event_bytes / 2 + 1, 'x');
     cr_assert(splitter.append(piece));
     cr_assert_not(splitter.append(piece));
 }
--- a/tests/system/transport/transport_test.cpp
+++ b/tests/system/transport/frame_connection_test.cpp
@@ -1,15 +1,12 @@
 // Connections between processes over real sockets on loopback: frames and their bounds.
-#include "system/http/client.h"
-#include "system/http/server.h"
 #include "system/transport/frame_connection.h"
-#include "system/transport/socket_options.h"
-
-#include "support/expect.h"
 
 #include <criterion/criterion.h>
 
 #include <optional>
 #include <random>
+#include <string>
+#include <vector>
 
 using namespace willowrill;
 using transport::FrameConnection;
@@ -40,7 +37,7 @@
 
 } // namespace
 
-Test(frames, arrive_whole_and_in_order) {
+Test(frame_connection, messages_arrive_complete_and_in_order) {
     Pair pair;
     const auto right = std::make_shared<FrameConnection>(std::move(*pair.right));
     std::vector<int> got;
@@ -55,7 +52,7 @@
 
 // A write that completes after the connection was closed must not touch the queue that closing has emptied
 // (found in a hunt: a control process ended with 139).
-Test(frames, a_close_during_a_write_is_harmless) {
+Test(frame_connection, a_close_during_a_write_is_harmless) {
     for (int round = 0; round < 50; ++round) {
         Pair pair;
         int closed = 0;
@@ -71,7 +68,7 @@
     }
 }
 
-Test(frames, malformed_bytes_end_the_connection) {
+Test(frame_connection, malformed_bytes_end_the_connection) {
     const std::vector<std::string> inputs{std::string("\0\0\0\3{x}", 7), std::string("\0\0\0\0", 4),
                                           std::string("\xff\xff\xff\xff", 4), std::string("\0\0\0\2[", 5)};
     for (const std::string& input : inputs) {
@@ -86,7 +83,7 @@
     }
 }
 
-Test(frames, a_message_of_the_wrong_shape_ends_the_connection_alone) {
+Test(frame_connection, a_message_of_the_wrong_shape_ends_the_connection_alone) {
     Pair pair;
     bool closed = false;
     pair.left->start([](const nlohmann::json& message) { (void)message.at("missing"); },
@@ -95,76 +92,17 @@
     cr_assert(pair.until([&] { return closed; }));
 }
 
-Test(frames, a_peer_that_does_not_read_is_given_up) {
+Test(frame_connection, a_peer_that_does_not_read_is_disconnected) {
     Pair pair;
     bool closed = false;
     pair.left->start([](const nlohmann::json&) {}, [&] { closed = true; });
-    std::string digits; // random ones, which no packing makes much shorter
+    std::string digits; // random ones, which no compression makes much shorter
     std::mt19937_64 random(1);
     while (digits.size() < (8U << 20U))
         digits += std::to_string(random());
     const auto frame = transport::frame_of({{"x", digits}});
-    cr_assert_gt(10 * frame->size(), transport::most_waiting_bytes);
+    cr_assert_gt(10 * frame->size(), transport::max_queued_bytes);
     for (int i = 0; i < 10; ++i)
         pair.left->send_frame(frame);
     cr_assert(pair.until([&] { return closed; }));
 }
-
-Test(pending, tells_an_end_from_bytes_and_from_nothing) {
-    asio::io_context loop;
-    Tcp::acceptor acceptor(loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    Tcp::socket near(loop), far(loop);
-    near.connect(acceptor.local_endpoint());
-    acceptor.accept(far);
-    cr_assert(transport::pending(near) == transport::Pending::nothing);
-    asio::write(far, asio::buffer("x", 1));
-    near.wait(Tcp::socket::wait_read);
-    cr_assert(transport::pending(near) == transport::Pending::bytes);
-    char byte = 0;
-    asio::read(near, asio::buffer(&byte, 1));
-    far.close();
-    near.wait(Tcp::socket::wait_read);
-    cr_assert(transport::pending(near) == transport::Pending::ended);
-}
-
-Test(http, a_client_and_a_server_talk_on_one_connection) {
-    asio::io_context loop;
-    std::uint16_t port = 0;
-    {
-        const Tcp::acceptor free(loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-        port = free.local_endpoint().port();
-    }
-    std::vector<std::string> targets;
-    http_server::Server server(loop, "127.0.0.1", port, {},
-                               [&](const http_server::Request& request, const http_server::Respond& respond) {
-                                   targets.emplace_back(request.target());
-                                   respond(http_server::json_response(request, 200, "{\"n\":1}"));
-                               });
-    const auto client = std::make_shared<http_client::Client>(loop, "127.0.0.1", port);
-    int answers = 0;
-    for (int i = 0; i < 3; ++i) {
-        client->get("/x" + std::to_string(i), std::chrono::seconds(5),
-                    [&](const http_client::Response* response) {
-                        cr_assert_not_null(response);
-                        expect_text(response->body().c_str(), "{\"n\":1}");
-                        ++answers;
-                    });
-        cr_assert(client->busy());
-        while (client->busy())
-            cr_assert_gt(loop.run_one_for(std::chrono::seconds(5)), 0U);
-    }
-    cr_assert_eq(answers, 3);
-    expect_text(targets[2].c_str(), "/x2");
-}
-
-Test(http, nobody_there_is_an_answer_of_nothing) {
-    asio::io_context loop;
-    const auto client = std::make_shared<http_client::Client>(loop, "127.0.0.1", 1);
-    bool told = false;
-    client->get("/", std::chrono::seconds(5), [&](const http_client::Response* response) {
-        cr_assert_null(response);
-        told = true;
-    });
-    loop.run_for(std::chrono::seconds(5));
-    cr_assert(told);
-}
--- /dev/null
+++ b/tests/system/transport/http_test.cpp
@@ -0,0 +1,54 @@
+// The HTTP client and server of the system's own interfaces, against each other on loopback.
+#include "system/http_client/client.h"
+#include "system/http_server/server.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+
+#include <string>
+#include <vector>
+
+using namespace willowrill;
+
+Test(http, a_client_and_a_server_use_one_connection_for_all_requests) {
+    asio::io_context loop;
+    std::uint16_t port = 0;
+    {
+        const Tcp::acceptor free(loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+        port = free.local_endpoint().port();
+    }
+    std::vector<std::string> targets;
+    http_server::Server server(loop, "127.0.0.1", port, {},
+                               [&](const http_server::Request& request, const http_server::Respond& respond) {
+                                   targets.emplace_back(request.target());
+                                   respond(http_server::json_response(request, 200, "{\"n\":1}"));
+                               });
+    const auto client = std::make_shared<http_client::Client>(loop, "127.0.0.1", port);
+    int responses = 0;
+    for (int i = 0; i < 3; ++i) {
+        client->get("/x" + std::to_string(i), std::chrono::seconds(5),
+                    [&](const http_client::Response* response) {
+                        cr_assert_not_null(response);
+                        expect_text(response->body().c_str(), "{\"n\":1}");
+                        ++responses;
+                    });
+        cr_assert(client->busy());
+        while (client->busy())
+            cr_assert_gt(loop.run_one_for(std::chrono::seconds(5)), 0U);
+    }
+    cr_assert_eq(responses, 3);
+    expect_text(targets[2].c_str(), "/x2");
+}
+
+Test(http, an_unreachable_server_gives_no_response) {
+    asio::io_context loop;
+    const auto client = std::make_shared<http_client::Client>(loop, "127.0.0.1", 1);
+    bool called = false;
+    client->get("/", std::chrono::seconds(5), [&](const http_client::Response* response) {
+        cr_assert_null(response);
+        called = true;
+    });
+    loop.run_for(std::chrono::seconds(5));
+    cr_assert(called);
+}
