--- a/src/system/data/client_listener.cpp
+++ b/src/system/data/client_listener.cpp
@@ -52,7 +52,7 @@
 }
 
 void ClientListener::start_session(const std::shared_ptr<Shared>& shared, Tcp::socket socket) {
-    transport::prepare(socket, unacknowledged_timeout);
+    transport::configure_socket(socket, unacknowledged_timeout);
     const auto session = std::make_shared<ClientSession>(shared->context, shared->counts, std::move(socket));
     asio::co_spawn(shared->context.loop, ClientSession::run(session), log_failure);
 }
--- a/src/system/data/client_session.cpp
+++ b/src/system/data/client_session.cpp
@@ -1,6 +1,6 @@
 #include "system/data/client_session.h"
 
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 #include "system/transport/socket_options.h"
 
 #include <string>
--- a/src/system/data/main.cpp
+++ b/src/system/data/main.cpp
@@ -18,7 +18,7 @@
 void serve(const settings::Settings& settings, const std::string& path, std::uint16_t metrics_port) {
     asio::io_context loop(1);
     data::DataPlane data_plane(loop, settings, path, metrics_port);
-    transport::run_until_it_leaves(loop, data_plane);
+    transport::run_until_shutdown(loop, data_plane);
 }
 
 } // namespace
--- a/src/system/data/proxied_request.cpp
+++ b/src/system/data/proxied_request.cpp
@@ -36,7 +36,7 @@
     routing_request_.service = &request_.service;
     if (route.affinity)
         routing_request_.prompt =
-            routing::read_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
+            routing::parse_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
     if (request_.service.has_engine)
         routing_request_.prefill = &context_.prefill_costs[request_.service.name];
 }
--- a/src/system/data/response_writer.cpp
+++ b/src/system/data/response_writer.cpp
@@ -1,6 +1,6 @@
 #include "system/data/response_writer.h"
 
-#include "system/http/server.h"
+#include "system/http_server/server.h"
 
 #include <fmt/format.h>
 
--- a/src/system/data/upstream_attempt.cpp
+++ b/src/system/data/upstream_attempt.cpp
@@ -21,7 +21,7 @@
                                  const routing::Selection& selection)
     : context_(request.data_plane), request_(request), writer_(writer),
       address_(selection.worker->instance.address), tier_(selection.tier),
-      tokens_to_prefill_(selection.tokens_to_read), worker_queue_empty_(selection.nothing_waits),
+      tokens_to_prefill_(selection.tokens_to_prefill), worker_queue_empty_(selection.queue_empty),
       in_flight_(context_.workers_handle(), *selection.worker),
       outgoing_(std::make_shared<OutgoingRequest>()), timer_(context_.loop) {
     count_dispatch(selection);
@@ -33,8 +33,8 @@
     const configuration::Service& service = request_.service;
     if (service.has_engine) context_.prefill_costs[service.name].note_dispatch(tokens_to_prefill_);
     routing::Worker& worker = *selection.worker;
-    worker.note_dispatch(steady_now(), selection.step);
-    if (steady_now() < worker.warming_until) context_.cold.note_send(steady_now(), worker.instance.id);
+    worker.note_dispatch(steady_now(), selection.load_increment);
+    if (worker.warming(steady_now())) context_.cold.note_send(steady_now(), worker.instance.id);
 }
 
 std::string UpstreamAttempt::request_bytes(const routing::Worker& worker) const {
--- a/src/system/data/worker_pool.cpp
+++ b/src/system/data/worker_pool.cpp
@@ -59,7 +59,7 @@
         uncount(address);
         co_return nullptr;
     }
-    transport::prepare(connection->socket, unacknowledged_timeout);
+    transport::configure_socket(connection->socket, unacknowledged_timeout);
     co_return connection;
 }
 
