--- a/src/system/replication/codec.cpp
+++ b/src/system/replication/codec.cpp
@@ -11,9 +11,23 @@
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Position, epoch, sequence)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(EpochRecord, epoch, primary, in_sync, witnesses)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(WitnessRegister, promised, accepted, decided, intact)
 
-// NOLINTBEGIN(readability-identifier-naming): the library looks these names up
+// Where a member's name differs from its key, the key is older: versions that run side by side must agree on
+// it. NOLINTBEGIN(readability-identifier-naming): the library looks these names up
+void to_json(Json& json, const WitnessRegister& value) {
+    json = Json{{"promised", value.promised},
+                {"accepted", value.accepted},
+                {"decided", value.decided},
+                {"intact", value.complete}};
+}
+
+void from_json(const Json& json, WitnessRegister& value) {
+    json.at("promised").get_to(value.promised);
+    json.at("accepted").get_to(value.accepted);
+    json.at("decided").get_to(value.decided);
+    json.at("intact").get_to(value.complete);
+}
+
 void to_json(Json& json, const ReplicatedState& state) {
     json = Json{{"position", state.position}, {"content", *state.content}};
 }
@@ -22,11 +36,52 @@
     json.at("position").get_to(state.position);
     state.content = std::make_shared<const std::string>(json.at("content").get<std::string>());
 }
+
+void to_json(Json& json, const PrepareRequest& request) {
+    json = Json{{"epoch", request.epoch}, {"tentative", request.pre_vote}};
+}
+
+void from_json(const Json& json, PrepareRequest& request) {
+    json.at("epoch").get_to(request.epoch);
+    json.at("tentative").get_to(request.pre_vote);
+}
+
+void to_json(Json& json, const PrepareReply& reply) {
+    json = Json{{"epoch", reply.epoch},
+                {"tentative", reply.pre_vote},
+                {"granted", reply.granted},
+                {"leaving", reply.shutting_down},
+                {"witness_register", reply.witness_register},
+                {"position", reply.position}};
+}
+
+void from_json(const Json& json, PrepareReply& reply) {
+    json.at("epoch").get_to(reply.epoch);
+    json.at("tentative").get_to(reply.pre_vote);
+    json.at("granted").get_to(reply.granted);
+    json.at("leaving").get_to(reply.shutting_down);
+    json.at("witness_register").get_to(reply.witness_register);
+    json.at("position").get_to(reply.position);
+}
+
+void to_json(Json& json, const HeartbeatReply& reply) {
+    json = Json{{"number", reply.number},         {"epoch", reply.epoch},    {"promised", reply.promised},
+                {"holds", reply.holds},           {"voting", reply.voting},  {"intact", reply.complete},
+                {"leaving", reply.shutting_down}, {"sent_at", reply.sent_at}};
+}
+
+void from_json(const Json& json, HeartbeatReply& reply) {
+    json.at("number").get_to(reply.number);
+    json.at("epoch").get_to(reply.epoch);
+    json.at("promised").get_to(reply.promised);
+    json.at("holds").get_to(reply.holds);
+    json.at("voting").get_to(reply.voting);
+    json.at("intact").get_to(reply.complete);
+    json.at("leaving").get_to(reply.shutting_down);
+    json.at("sent_at").get_to(reply.sent_at);
+}
 // NOLINTEND(readability-identifier-naming)
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PrepareRequest, epoch, tentative)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(PrepareReply, epoch, tentative, granted, leaving, witness_register,
-                                   position)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FetchRequest, epoch)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(FetchReply, epoch, state)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(InstallRequest, epoch, state)
@@ -36,8 +91,6 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ReplicateRequest, epoch, state)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ReplicateReply, epoch, position, stored, promised)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Heartbeat, number, record, committed, in_contact, echo)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(HeartbeatReply, number, epoch, promised, holds, voting, intact, leaving,
-                                   sent_at)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(CommitNotification, epoch, state)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RecoveryRequest, nonce)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(RecoveryReply, nonce, voting, witness_register)
--- a/src/system/replication/primary.cpp
+++ b/src/system/replication/primary.cpp
@@ -12,9 +12,9 @@
     next.decided = planned_;
     save(next);
     if (!planned_change_) primary_since_ = now_;
-    reconfigured_ = now_;
-    primary_heard_ = now_;
-    heard_in_this_life_ = true;
+    reconfigured_at_ = now_;
+    primary_heard_at_ = now_;
+    heard_primary_since_start_ = true;
     for (auto& [id, peer] : peers_) {
         peer.heartbeat = 0;
         // Who stored the record took this member for the primary after it was sent.
@@ -32,28 +32,28 @@
     }
     heartbeat();
     for (auto& [id, waiting] : confirmations_)
-        waiting.heartbeat = beat_number_;
+        waiting.heartbeat = heartbeat_number_;
 }
 
 void Replica::step_down(Epoch seen, const char* reason) {
-    highest_seen_ = std::max(highest_seen_, seen);
-    drop_orders();
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, seen);
+    abort_client_requests();
     change_role(Role::backup, reason);
-    stand_not_before_ = std::max(stand_not_before_, now_ + options_.timing.phase);
+    no_election_before_ = std::max(no_election_before_, now_ + options_.timing.phase);
 }
 
 // Asks the next in-sync member that can to take over, without waiting for the silence.
-void Replica::hand_over() {
-    yield_sent_ = now_;
+void Replica::transfer_leadership() {
+    leadership_transfer_sent_ = now_;
     for (const MemberId& id : register_.decided.in_sync) {
         const auto peer = peers_.find(id);
-        if (id == options_.self || peer == peers_.end() || !alive(id)) continue;
-        if (peer->second.leaving || !peer->second.voting) continue;
+        if (id == options_.self || peer == peers_.end() || !is_alive(id)) continue;
+        if (peer->second.shutting_down || !peer->second.voting) continue;
         return send(id, LeadershipTransfer{register_.decided.epoch});
     }
 }
 
-void Replica::drop_orders() {
+void Replica::abort_client_requests() {
     if (proposal_) actions_->emplace_back(OutcomeUnknown{proposal_->id});
     proposal_.reset();
     for (const auto& [id, waiting] : confirmations_)
@@ -63,8 +63,8 @@
 
 // At the first start the core grows to the size that bears the losses tolerated before it takes anything.
 bool Replica::has_grown() const {
-    if (register_.decided.witnesses.size() >= full_size()) return true;
-    return !first_start_ || now_ - started_ >= options_.timing.growth;
+    if (register_.decided.witnesses.size() >= full_witness_count()) return true;
+    return !is_first_start_ || now_ - started_at_ >= options_.timing.initial_growth;
 }
 
 void Replica::on(const Propose& event) {
@@ -80,10 +80,10 @@
     proposal_ = Proposal{event.id, next, now_, {}};
     for (const MemberId& id : register_.decided.in_sync)
         send(id, ReplicateRequest{next.epoch, state_});
-    after_saves(OwnCopy{next});
+    when_durable(CountOwnCopy{next});
 }
 
-void Replica::carry_out(const OwnCopy& copy) {
+void Replica::carry_out(const CountOwnCopy& copy) {
     if (role_ != Role::primary || !proposal_ || proposal_->position != copy.position) return;
     proposal_->stored.insert(options_.self);
     check_commit();
@@ -124,7 +124,7 @@
         return;
     }
     heartbeat();
-    confirmations_[event.id] = {beat_number_, now_};
+    confirmations_[event.id] = {heartbeat_number_, now_};
     check_confirmations();
 }
 
@@ -148,11 +148,11 @@
 }
 
 void Replica::heartbeat() {
-    constexpr std::size_t most_remembered = 256;
-    ++beat_number_;
-    beat_sent_ = now_;
-    beats_.emplace_back(beat_number_, now_);
-    if (beats_.size() > most_remembered) beats_.pop_front();
+    constexpr std::size_t max_remembered = 256;
+    ++heartbeat_number_;
+    heartbeat_sent_at_ = now_;
+    sent_heartbeats_.emplace_back(heartbeat_number_, now_);
+    if (sent_heartbeats_.size() > max_remembered) sent_heartbeats_.pop_front();
     for (const auto& [id, peer] : peers_)
         if (peer.connected) send_heartbeat(id);
 }
@@ -160,13 +160,13 @@
 void Replica::send_heartbeat(const MemberId& to) {
     const auto peer = peers_.find(to);
     const std::int64_t echo = peer == peers_.end() ? 0 : peer->second.reply_sent_at;
-    send(to, Heartbeat{beat_number_, register_.decided, committed_.position, current(now_), echo});
+    send(to, Heartbeat{heartbeat_number_, register_.decided, committed_.position, current(now_), echo});
 }
 
 // When the heartbeat of this number was sent; long ago where that is not remembered.
 Time Replica::sent_at(std::uint64_t number) const {
-    const auto beat = std::ranges::find(beats_, number, &std::pair<std::uint64_t, Time>::first);
-    return beat == beats_.end() ? Time{-1'000'000} : beat->second;
+    const auto beat = std::ranges::find(sent_heartbeats_, number, &std::pair<std::uint64_t, Time>::first);
+    return beat == sent_heartbeats_.end() ? Time{-1'000'000} : beat->second;
 }
 
 void Replica::on_message(const MemberId& from, const HeartbeatReply& reply) {
@@ -174,9 +174,9 @@
     if (reply.voting && !peer.voting) peer.steady_since = now_;
     if (reply.voting) peer.voting_at = now_;
     peer.voting = reply.voting;
-    peer.intact = reply.intact;
-    peer.leaving = reply.leaving;
-    highest_seen_ = std::max(highest_seen_, reply.promised);
+    peer.complete = reply.complete;
+    peer.shutting_down = reply.shutting_down;
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, reply.promised);
     if (role_ != Role::primary || reply.epoch != register_.decided.epoch) return;
     if (reply.promised > reply.epoch) return step_down(reply.promised, "fenced");
     const bool first = peer.reply_sent_at == 0;
@@ -188,9 +188,10 @@
     }
     peer.holds = reply.holds;
     if (first) send_heartbeat(from); // so that it knows at once how fresh this is
-    constexpr Time learn_again{300};
-    if (peer.holds < committed_.position && now_ - peer.learn_sent >= learn_again) {
-        peer.learn_sent = now_;
+    constexpr Time commit_notification_interval{300};
+    if (peer.holds < committed_.position &&
+        now_ - peer.commit_notification_sent >= commit_notification_interval) {
+        peer.commit_notification_sent = now_;
         send(from, CommitNotification{reply.epoch, committed_});
     }
     check_confirmations();
@@ -199,23 +200,25 @@
 // Looks after the in-sync set and the witnesses; any change of either is a new epoch.
 void Replica::supervise_members() {
     const Timing& timing = options_.timing;
-    constexpr Time yield_again{500};
+    constexpr Time leadership_transfer_interval{500};
     if (!disk_answers()) {
-        hand_over();
-        lose_turn();
+        transfer_leadership();
+        back_off_election();
         return step_down(0, "disk-silent");
     }
-    if (now_ - reconfigured_ > timing.primary_alone && !quorum_answered(now_, timing.primary_alone)) {
-        if (now_ - primary_since_ < timing.served) lose_turn();
+    if (now_ - reconfigured_at_ > timing.quorum_loss_timeout &&
+        !quorum_answered(now_, timing.quorum_loss_timeout)) {
+        if (now_ - primary_since_ < timing.min_service) back_off_election();
         return step_down(0, "no-quorum");
     }
-    if (now_ - primary_since_ >= timing.served) turn_pause_ = Time{0};
+    if (now_ - primary_since_ >= timing.min_service) election_backoff_ = Time{0};
     expire_confirmations();
     resend_proposal();
-    if (now_ - beat_sent_ >= timing.heartbeat) heartbeat();
-    if (leaving_ && now_ - yield_sent_ >= yield_again) hand_over();
-    if (leaving_ || now_ - reconfigured_ < timing.member_silent) return;
-    if (membership_should_change()) stand(false);
+    if (now_ - heartbeat_sent_at_ >= timing.heartbeat) heartbeat();
+    if (shutting_down_ && now_ - leadership_transfer_sent_ >= leadership_transfer_interval)
+        transfer_leadership();
+    if (shutting_down_ || now_ - reconfigured_at_ < timing.member_timeout) return;
+    if (membership_should_change()) start_election();
 }
 
 bool Replica::membership_should_change() const {
@@ -223,7 +226,7 @@
     std::vector<MemberId> present{options_.self};
     std::size_t staying = 1;
     for (const auto& [id, peer] : peers_) {
-        if (!steady(id)) continue;
+        if (!is_steady(id)) continue;
         present.push_back(id);
         const bool witness = std::ranges::count(record.witnesses, id) > 0;
         if (witness && std::ranges::count(record.in_sync, id) == 0) return true;
@@ -232,8 +235,9 @@
     for (const MemberId& id : record.in_sync) {
         if (id == options_.self) continue;
         const auto peer = peers_.find(id);
-        if (peer == peers_.end() || !alive(id) || !peer->second.voting || !peer->second.intact) return true;
-        if (peer->second.leaving && staying >= fewest_in_sync()) return true;
+        if (peer == peers_.end() || !is_alive(id) || !peer->second.voting || !peer->second.complete)
+            return true;
+        if (peer->second.shutting_down && staying >= min_in_sync()) return true;
     }
     return next_witnesses(present) != record.witnesses;
 }
--- a/src/system/replication/replica.cpp
+++ b/src/system/replication/replica.cpp
@@ -46,7 +46,8 @@
 
 std::optional<MemberId> Replica::primary() const {
     if (role_ == Role::primary) return options_.self;
-    if (!heard_in_this_life_ || now_ - primary_heard_ > options_.timing.election) return std::nullopt;
+    if (!heard_primary_since_start_ || now_ - primary_heard_at_ > options_.timing.election)
+        return std::nullopt;
     return register_.decided.primary;
 }
 
@@ -67,7 +68,7 @@
 bool Replica::may_end(Time now) const {
     if (role_ == Role::primary) return false;
     if (!has_register_) return true;
-    if (!heard_in_this_life_ || now - primary_heard_ > options_.timing.current) return false;
+    if (!heard_primary_since_start_ || now - primary_heard_at_ > options_.timing.current) return false;
     const EpochRecord& record = register_.decided;
     if (std::ranges::count(record.in_sync, options_.self) > 0) return false;
     if (std::ranges::count(record.witnesses, options_.self) == 0) return true;
@@ -86,7 +87,7 @@
 // ---- Events ----------------------------------------------------------------------------------------------
 
 void Replica::on(const Tick&) {
-    if (stand_not_before_ == Time{0}) stand_not_before_ = now_ + options_.timing.first_election;
+    if (no_election_before_ == Time{0}) no_election_before_ = now_ + options_.timing.first_election;
     if (!reaches_quorum())
         quorum_reached_ = Time{-1};
     else if (quorum_reached_ < Time{0})
@@ -99,7 +100,7 @@
     case Role::storage_failed:
         return restore();
     case Role::backup:
-        if (may_stand()) stand(true);
+        if (may_start_election()) start_pre_vote();
         return;
     case Role::pre_voting:
     case Role::preparing:
@@ -107,7 +108,7 @@
     case Role::installing:
     case Role::accepting:
         if (now_ - role_since_ > options_.timing.phase) {
-            if (!outstanding_.empty()) lose_turn(); // its own disk is too slow to serve
+            if (!in_flight_saves_.empty()) back_off_election(); // its own disk is too slow to serve
             return abandon_election(0, "election-phase-too-long");
         }
         if (role_ == Role::preparing) plan_record();
@@ -118,15 +119,16 @@
 }
 
 // The primary has been silent for long, and enough witnesses could answer: in the order of succession.
-bool Replica::may_stand() const {
-    if (!can_vote() || leaving_ || now_ < stand_not_before_ || quorum_reached_ < Time{0}) return false;
-    const Time turn = options_.timing.election_step * static_cast<int>(place_in_order());
-    return now_ - primary_heard_ > election_delay() && now_ - quorum_reached_ >= turn;
+bool Replica::may_start_election() const {
+    if (!can_vote() || shutting_down_ || now_ < no_election_before_ || quorum_reached_ < Time{0})
+        return false;
+    const Time turn = options_.timing.election_step * static_cast<int>(succession_rank());
+    return now_ - primary_heard_at_ > election_delay() && now_ - quorum_reached_ >= turn;
 }
 
 void Replica::on(const Received& received) {
     Peer& peer = peers_[received.from];
-    if (peer.steady_since < Time{0} || now_ - peer.heard > options_.timing.member_silent)
+    if (peer.steady_since < Time{0} || now_ - peer.heard > options_.timing.member_timeout)
         peer.steady_since = now_;
     peer.heard = now_;
     if (role_ == Role::loading) return;
@@ -136,9 +138,9 @@
 void Replica::on(const PeerConnected& event) {
     Peer& peer = peers_[event.peer];
     peer.connected = true;
-    peer.leaving = false;
+    peer.shutting_down = false;
     peer.reply_sent_at = 0;
-    if (role_ == Role::recovering) recovery_asked_ = Time{-1'000'000};
+    if (role_ == Role::recovering) recovery_requested_at_ = Time{-1'000'000};
     if (role_ == Role::primary) send_heartbeat(event.peer); // one that comes back is taken in the sooner
 }
 
@@ -148,24 +150,24 @@
     peer.connected = false;
     peer.steady_since = Time{-1};
     if (role_ == Role::backup && event.peer == register_.decided.primary)
-        primary_heard_ =
-            std::min(primary_heard_, now_ - options_.timing.election + options_.timing.election_step);
+        primary_heard_at_ =
+            std::min(primary_heard_at_, now_ - options_.timing.election + options_.timing.election_step);
 }
 
 void Replica::on(const BeginShutdown&) {
-    leaving_ = true;
-    if (role_ == Role::primary) hand_over();
+    shutting_down_ = true;
+    if (role_ == Role::primary) transfer_leadership();
 }
 
 // ---- Witness ---------------------------------------------------------------------------------------------
 
 void Replica::on_message(const MemberId& from, const PrepareRequest& request) {
-    highest_seen_ = std::max(highest_seen_, request.epoch);
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, request.epoch);
     const bool possible = can_vote() && request.epoch > register_.promised;
-    PrepareReply reply{request.epoch, request.tentative, false, leaving_, register_, state_.position};
-    if (request.tentative)
-        reply.granted = possible && (!hears_primary() || from == register_.decided.primary);
-    if (request.tentative || !possible) return send(from, reply);
+    PrepareReply reply{request.epoch, request.pre_vote, false, shutting_down_, register_, state_.position};
+    if (request.pre_vote)
+        reply.granted = possible && (!heard_primary_recently() || from == register_.decided.primary);
+    if (request.pre_vote || !possible) return send(from, reply);
     WitnessRegister next = register_;
     next.promised = request.epoch;
     save(next);
@@ -173,8 +175,8 @@
     reply.witness_register = register_;
     if (role_ != Role::backup) step_down(request.epoch, "promised-another");
     // The candidate has its chance before this one stands itself.
-    stand_not_before_ = std::max(stand_not_before_, now_ + options_.timing.phase);
-    after_saves(Send{from, reply});
+    no_election_before_ = std::max(no_election_before_, now_ + options_.timing.phase);
+    when_durable(Send{from, reply});
 }
 
 void Replica::on_message(const MemberId& from, const AcceptRequest& request) {
@@ -186,19 +188,19 @@
     next.accepted = request.record;
     save(next);
     if (role_ != Role::backup && epoch > candidate_epoch_) step_down(epoch, "accepted-another");
-    after_saves(Send{from, AcceptReply{epoch, true, register_.promised}});
+    when_durable(Send{from, AcceptReply{epoch, true, register_.promised}});
 }
 
 // Whether the primary, here or elsewhere, was heard a moment ago: no reason for an election.
-bool Replica::hears_primary() const {
+bool Replica::heard_primary_recently() const {
     if (role_ == Role::primary) return current(now_);
-    return heard_in_this_life_ && now_ - primary_heard_ < options_.timing.current;
+    return heard_primary_since_start_ && now_ - primary_heard_at_ < options_.timing.current;
 }
 
 // ---- Replica ---------------------------------------------------------------------------------------------
 
 void Replica::on_message(const MemberId& from, const FetchRequest& request) {
-    if (register_.promised != request.epoch || !register_.intact) return;
+    if (register_.promised != request.epoch || !register_.complete) return;
     send(from, FetchReply{request.epoch, state_});
 }
 
@@ -209,32 +211,32 @@
         return send(from, InstallReply{request.epoch, false, register_.promised});
     if (state_.position != request.state.position) save(request.state);
     WitnessRegister next = register_;
-    next.intact = true;
+    next.complete = true;
     save(next);
-    after_saves(Send{from, InstallReply{request.epoch, true, register_.promised}});
+    when_durable(Send{from, InstallReply{request.epoch, true, register_.promised}});
 }
 
 // An older state than the one held may come late, on a connection that was replaced meanwhile.
 void Replica::on_message(const MemberId& from, const ReplicateRequest& request) {
     const Position& position = request.state.position;
-    const bool possible = can_vote() && register_.intact && request.epoch >= register_.promised;
+    const bool possible = can_vote() && register_.complete && request.epoch >= register_.promised;
     if (!possible || position < state_.position)
         return send(from, ReplicateReply{request.epoch, position, false, register_.promised});
     if (state_.position != position) save(request.state);
-    after_saves(Send{from, ReplicateReply{request.epoch, position, true, register_.promised}});
+    when_durable(Send{from, ReplicateReply{request.epoch, position, true, register_.promised}});
 }
 
 void Replica::on_message(const MemberId& from, const Heartbeat& beat) {
     const Epoch epoch = beat.record.epoch;
-    highest_seen_ = std::max(highest_seen_, epoch);
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, epoch);
     const bool follows = has_register_ && epoch >= register_.promised && from == beat.record.primary;
     if (follows) {
         const bool candidate = role_ != Role::backup && role_ != Role::storage_failed;
         if (candidate && epoch >= candidate_epoch_) step_down(epoch, "another-is-primary");
-        learn_decided(beat.record);
+        adopt_decided(beat.record);
         if (role_ == Role::backup || role_ == Role::storage_failed) {
-            primary_heard_ = now_;
-            heard_in_this_life_ = true;
+            primary_heard_at_ = now_;
+            heard_primary_since_start_ = true;
         }
         if (beat.committed == state_.position) commit(state_);
         note_contact(beat);
@@ -243,8 +245,9 @@
 }
 
 HeartbeatReply Replica::heartbeat_reply(std::uint64_t number, Epoch epoch) const {
-    return {number,           epoch,    register_.promised, committed_.position, can_vote(),
-            register_.intact, leaving_, now_.count()};
+    return {
+        number,         epoch,       register_.promised, committed_.position, can_vote(), register_.complete,
+        shutting_down_, now_.count()};
 }
 
 // A message may have lain in a buffer while this process or the sender stood still. Only the echo of a reply
@@ -255,9 +258,9 @@
     contact_at_ = std::max(contact_at_, at);
 }
 
-void Replica::on_message(const MemberId& from, const CommitNotification& learn) {
-    if (learn.epoch < register_.promised || from != register_.decided.primary) return;
-    commit(learn.state);
+void Replica::on_message(const MemberId& from, const CommitNotification& notification) {
+    if (notification.epoch < register_.promised || from != register_.decided.primary) return;
+    commit(notification.state);
 }
 
 void Replica::commit(const ReplicatedState& state) {
@@ -268,7 +271,7 @@
 
 // A record that enough witnesses have stored may be stored anywhere, whatever was promised. Nothing rests on
 // its being durable here, so a disk that fails or stalls is not asked.
-void Replica::learn_decided(const EpochRecord& record) {
+void Replica::adopt_decided(const EpochRecord& record) {
     if (record.epoch <= register_.decided.epoch) return;
     WitnessRegister next = register_;
     next.decided = record;
@@ -286,13 +289,13 @@
 }
 
 void Replica::on_message(const MemberId& from, const RecoveryReply& reply) {
-    if (role_ != Role::recovering || reply.nonce != nonce_) return;
+    if (role_ != Role::recovering || reply.nonce != recovery_nonce_) return;
     if (reply.voting)
-        recovery_[from] = reply;
+        recovery_replies_[from] = reply;
     else
-        recovery_.erase(from);
+        recovery_replies_.erase(from);
     WitnessRegister found;
-    for (const auto& [id, known] : recovery_) {
+    for (const auto& [id, known] : recovery_replies_) {
         found.promised = std::max(found.promised, known.witness_register.promised);
         if (known.witness_register.accepted.epoch > found.accepted.epoch)
             found.accepted = known.witness_register.accepted;
@@ -303,23 +306,23 @@
     const std::vector<MemberId>& group = found.accepted.witnesses;
     const std::size_t majority = group.size() / 2 + 1;
     const auto answered = static_cast<std::size_t>(std::ranges::count_if(
-        group, [&](const MemberId& id) { return id != options_.self && recovery_.contains(id); }));
+        group, [&](const MemberId& id) { return id != options_.self && recovery_replies_.contains(id); }));
     if (group.empty() || answered < group.size() - majority + 1) return;
-    found.intact = false;
+    found.complete = false;
     save(found);
     has_register_ = true;
-    highest_seen_ = std::max(highest_seen_, found.promised);
-    recovery_.clear();
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, found.promised);
+    recovery_replies_.clear();
     change_role(Role::backup, "recovered");
     send(found.decided.primary, heartbeat_reply(0, found.decided.epoch)); // it can be taken in now
 }
 
 void Replica::try_recovery() {
     constexpr Time again{200};
-    if (now_ - recovery_asked_ < again) return;
-    recovery_asked_ = now_;
+    if (now_ - recovery_requested_at_ < again) return;
+    recovery_requested_at_ = now_;
     for (const auto& [id, peer] : peers_)
-        if (peer.connected) send(id, RecoveryRequest{nonce_});
+        if (peer.connected) send(id, RecoveryRequest{recovery_nonce_});
 }
 
 // ---- Helpers ---------------------------------------------------------------------------------------------
@@ -328,27 +331,27 @@
     if (to != options_.self) actions_->emplace_back(Send{to, std::move(message)});
 }
 
-bool Replica::alive(const MemberId& member) const {
+bool Replica::is_alive(const MemberId& member) const {
     if (member == options_.self) return true;
     const auto peer = peers_.find(member);
-    return peer != peers_.end() && now_ - peer->second.heard <= options_.timing.member_silent;
+    return peer != peers_.end() && now_ - peer->second.heard <= options_.timing.member_timeout;
 }
 
 // Fewer copies than witnesses, or a witness that is not heard: the next loss could be one too many.
-bool Replica::lacks_members() const {
+bool Replica::lacks_redundancy() const {
     const EpochRecord& record = register_.decided;
     if (record.in_sync.size() < record.witnesses.size()) return true;
-    return !std::ranges::all_of(record.witnesses, [this](const MemberId& id) { return alive(id); });
+    return !std::ranges::all_of(record.witnesses, [this](const MemberId& id) { return is_alive(id); });
 }
 
 // Answers without a gap for some time, and can vote.
-bool Replica::steady(const MemberId& member) const {
+bool Replica::is_steady(const MemberId& member) const {
     const auto found = peers_.find(member);
-    if (found == peers_.end() || !alive(member)) return false;
+    if (found == peers_.end() || !is_alive(member)) return false;
     const Peer& peer = found->second;
     const Time needed =
-        lacks_members() ? options_.timing.member_steady_urgent : options_.timing.member_steady;
-    return peer.connected && peer.voting && !peer.leaving && peer.steady_since >= Time{0} &&
+        lacks_redundancy() ? options_.timing.steady_after_urgent : options_.timing.steady_after;
+    return peer.connected && peer.voting && !peer.shutting_down && peer.steady_since >= Time{0} &&
            now_ - peer.steady_since >= needed;
 }
 
--- a/src/system/replication/replica.h
+++ b/src/system/replication/replica.h
@@ -31,31 +31,31 @@
 
 inline constexpr Epoch initial_epoch = 1;
 
-using Time = std::chrono::milliseconds; // steady, from any origin
+using Time = std::chrono::milliseconds; // is_steady, from any origin
 
 struct Timing {
     Time heartbeat{250};
-    Time election{1000};      // without a heartbeat for so long, a backup stands for primary
-    Time election_step{150};  // and so much later for each member before it in the order of succession
-    Time first_election{100}; // after a start, how long a primary that serves has to make itself heard
-    Time phase{700};          // an election phase that takes longer is given up
-    Time gather{100};         // how long a candidate waits for further promises beyond those it needs
-    Time gather_planned{300}; // the same where a primary changes the membership and nothing is urgent
-    Time member_silent{800};  // an in-sync member that says nothing for so long is dropped
-    Time member_steady{1000}; // a member must answer for so long before it is taken into the in-sync set
-    Time member_steady_urgent{100}; // the same where copies or witnesses are missing
-    Time witness_silent{2500};  // a witness silent for so long is replaced, where a spare member stands by
-    Time primary_alone{1200};   // a primary that hears fewer than half of the witnesses steps down
-    Time current{900};          // without proof of contact for so long, a member calls itself stale
-    Time resend{300};           // a state that a member has not stored is sent to it again
-    Time confirm{700};          // a confirmation that finds no quorum for so long is given up
-    Time disk_silent{600};      // a disk that answers nothing for so long takes no part
-    Time restore_first{200};    // after a refused save, the pause before the records are written anew;
-    Time restore_longest{1000}; // it doubles up to this
-    Time turn_first{1000};      // a member that won and could not serve lets others stand for so long;
-    Time turn_longest{8000};    // it doubles up to this
-    Time served{3000};          // a primary has served once it has been one for so long
-    Time growth{5000};          // at the first start, orders wait so long for the core to reach its size
+    Time election{1000};            // without a heartbeat for so long, a backup stands for primary
+    Time election_step{150};        // and so much later for each member before it in the order of succession
+    Time first_election{100};       // after a start, how long a primary that serves has to make itself heard
+    Time phase{700};                // an election phase that takes longer is given up
+    Time prepare_wait{100};         // how long a candidate waits for further promises beyond those it needs
+    Time prepare_wait_planned{300}; // the same where a primary changes the membership and nothing is urgent
+    Time member_timeout{800};       // an in-sync member that says nothing for so long is dropped
+    Time steady_after{1000};       // a member must answer for so long before it is taken into the in-sync set
+    Time steady_after_urgent{100}; // the same where copies or witnesses are missing
+    Time witness_timeout{2500};    // a witness silent for so long is replaced, where a spare member stands by
+    Time quorum_loss_timeout{1200};    // a primary that hears fewer than half of the witnesses steps down
+    Time current{900};                 // without proof of contact for so long, a member calls itself stale
+    Time resend{300};                  // a state that a member has not stored is sent to it again
+    Time confirm{700};                 // a confirmation that finds no quorum for so long is given up
+    Time disk_timeout{600};            // a disk that answers nothing for so long takes no part
+    Time restore_backoff_first{200};   // after a refused save, the pause before the records are written anew;
+    Time restore_backoff_max{1000};    // it doubles up to this
+    Time election_backoff_first{1000}; // a member that won and could not serve lets others stand for so long;
+    Time election_backoff_max{8000};   // it doubles up to this
+    Time min_service{3000};            // a primary has min_service once it has been one for so long
+    Time initial_growth{5000}; // at the first start, orders wait so long for the core to reach its size
 };
 
 struct Options {
@@ -68,8 +68,8 @@
 };
 
 // `loading`: the disk has not been read yet. `recovering`: its register was lost, and it is not known what
-// was promised. `storage_failed`: the disk refused a record. `canvassing`: asking whether an election would
-// succeed. `collecting`, `fetching`, `installing`, `accepting`: phases of an election.
+// was promised. `storage_failed`: the disk refused a record. `pre_voting`: asks whether an election would
+// succeed. `preparing`, `fetching`, `installing`, `accepting`: phases of an election.
 enum class Role {
     loading,
     recovering,
@@ -173,7 +173,7 @@
     const WitnessRegister& witness_register() const { return register_; }
     // The newest state that was given to the disk, acknowledged or not.
     const ReplicatedState& state() const { return state_; }
-    bool leaving() const { return leaving_; }
+    bool shutting_down() const { return shutting_down_; }
     // Whether the others hold enough copies and a quorum without this member, as far as that can be had:
     // witnesses can be replaced only where a member stands by.
     bool may_end(Time now) const;
@@ -188,15 +188,10 @@
         Position holds;
         bool voting = false;
         Time voting_at{-1'000'000}; // when it last said that it can vote
-        bool intact = false;
-        bool leaving = false;
+        bool complete = false;
+        bool shutting_down = false;
         std::int64_t reply_sent_at = 0; // by its clock, of its newest reply
-        Time learn_sent{-1'000'000};
-    };
-    struct Promise {
-        WitnessRegister witness_register;
-        Position position;
-        bool leaving = false;
+        Time commit_notification_sent{-1'000'000};
     };
     struct Proposal {
         std::uint64_t id = 0;
@@ -209,27 +204,28 @@
         Time since{0};
     };
     // What waits for saves: a message that vouches for them, or a step of this member's own.
-    struct OwnPromise {
+    struct SendPrepareRequests {
         Epoch epoch = 0;
     };
-    struct OwnInstall {
+    struct StartInstall {
         Epoch epoch = 0;
     };
-    struct OwnAccept {
+    struct SendAcceptRequests {
         Epoch epoch = 0;
     };
-    struct OwnCopy {
+    struct CountOwnCopy {
         Position position;
     };
-    struct Restored {};
-    using Consequence = std::variant<Send, OwnPromise, OwnInstall, OwnAccept, OwnCopy, Restored>;
-    struct Outstanding {
-        SaveId ticket = 0;
-        std::optional<bool> intact; // as the register to be saved says; none for a state
+    struct FinishRestoration {};
+    using DeferredAction = std::variant<Send, SendPrepareRequests, StartInstall, SendAcceptRequests,
+                                        CountOwnCopy, FinishRestoration>;
+    struct InFlightSave {
+        SaveId id = 0;
+        std::optional<bool> complete; // as the register to be saved says; none for a state
     };
-    struct Waiting {
+    struct Deferred {
         SaveId after = 0;
-        Consequence consequence;
+        DeferredAction action;
     };
 
     void on(const Tick&);
@@ -253,55 +249,58 @@
     void on_message(const MemberId& from, const AcceptReply& reply);
     void on_message(const MemberId& from, const ReplicateRequest& request);
     void on_message(const MemberId& from, const ReplicateReply& reply);
-    void on_message(const MemberId& from, const Heartbeat& beat);
+    void on_message(const MemberId& from, const Heartbeat& heartbeat);
     void on_message(const MemberId& from, const HeartbeatReply& reply);
-    void on_message(const MemberId& from, const CommitNotification& learn);
+    void on_message(const MemberId& from, const CommitNotification& notification);
     void on_message(const MemberId& from, const RecoveryRequest& request);
     void on_message(const MemberId& from, const RecoveryReply& reply);
-    void on_message(const MemberId& from, const LeadershipTransfer& yield);
+    void on_message(const MemberId& from, const LeadershipTransfer& transfer);
 
     // Durability (durability.cpp).
     void save(const WitnessRegister& next);
     void save(const ReplicatedState& next);
     void issue(DiskRecord record, bool restores = false);
-    void after_saves(Consequence consequence);
+    void when_durable(DeferredAction action);
     void carry_out(const Send& send);
-    void carry_out(const OwnPromise& promise);
-    void carry_out(const OwnInstall& install);
-    void carry_out(const OwnAccept& accept);
-    void carry_out(const OwnCopy& copy);
-    void carry_out(const Restored&);
-    bool finish_ticket(SaveId ticket, bool saved);
+    void carry_out(const SendPrepareRequests& due);
+    void carry_out(const StartInstall& due);
+    void carry_out(const SendAcceptRequests& due);
+    void carry_out(const CountOwnCopy& copy);
+    void carry_out(const FinishRestoration&);
+    bool finish_save(SaveId id, bool saved);
     void restore();
     bool disk_answers() const;
     bool can_vote() const;
 
     // Election (election.cpp).
-    void stand(bool tentative);
-    void start_collecting();
-    void count_promises();
-    std::set<MemberId> promised() const;
+    void begin_candidacy();
+    void start_pre_vote();
+    PrepareReply own_prepare_reply() const;
+    void start_election();
+    void start_preparing();
+    void count_prepare_replies();
+    std::set<MemberId> members_granting() const;
     void plan_record();
     std::vector<MemberId> next_in_sync(const std::vector<MemberId>& witnesses) const;
     void install();
-    void maybe_accept();
+    void start_accept_if_installed();
     void count_accepts();
     void abandon_election(Epoch seen, const char* reason);
-    void lose_turn();
-    std::vector<MemberId> spares() const;
+    void back_off_election();
+    std::vector<MemberId> standbys() const;
     std::vector<MemberId> next_witnesses(const std::vector<MemberId>& present) const;
     bool replaceable(const MemberId& witness) const;
-    std::vector<MemberId> electors() const;
+    std::vector<MemberId> prepare_recipients() const;
     const EpochRecord& highest_accepted() const;
     const EpochRecord& highest_decided() const;
-    std::size_t place_in_order() const;
+    std::size_t succession_rank() const;
     Time election_delay() const;
 
     // The primary (primary.cpp).
     void become_primary();
     void step_down(Epoch seen, const char* reason);
-    void drop_orders();
-    void hand_over();
+    void abort_client_requests();
+    void transfer_leadership();
     void heartbeat();
     void send_heartbeat(const MemberId& to);
     void check_confirmations();
@@ -316,20 +315,20 @@
     void change_role(Role next, const char* reason);
     void try_recovery();
     void commit(const ReplicatedState& state);
-    void learn_decided(const EpochRecord& record);
-    void note_contact(const Heartbeat& beat);
+    void adopt_decided(const EpochRecord& record);
+    void note_contact(const Heartbeat& heartbeat);
     HeartbeatReply heartbeat_reply(std::uint64_t number, Epoch epoch) const;
     void send(const MemberId& to, Message message);
-    bool alive(const MemberId& member) const;
-    bool may_stand() const;
+    bool is_alive(const MemberId& member) const;
+    bool may_start_election() const;
     bool reaches_quorum() const;
     bool has_quorum(const std::vector<MemberId>& group, const std::set<MemberId>& of) const;
-    bool steady(const MemberId& member) const;
-    bool lacks_members() const;
+    bool is_steady(const MemberId& member) const;
+    bool lacks_redundancy() const;
     bool quorum_answered(Time now, Time within) const;
-    bool hears_primary() const;
-    std::size_t fewest_in_sync() const { return options_.tolerated + 1; }
-    std::size_t full_size() const { return 2 * options_.tolerated + 1; }
+    bool heard_primary_recently() const;
+    std::size_t min_in_sync() const { return options_.tolerated + 1; }
+    std::size_t full_witness_count() const { return 2 * options_.tolerated + 1; }
 
     Options options_;
     std::mt19937_64 random_;
@@ -342,32 +341,32 @@
     ReplicatedState state_;    // likewise
     ReplicatedState committed_;
     bool has_register_ = false;
-    bool register_unsaved_ = false; // `register_` holds news that was not given to the disk
-    bool leaving_ = false;
-    bool first_start_ = false;
+    bool register_unsaved_ = false; // `register_` holds what was not given to the disk
+    bool shutting_down_ = false;
+    bool is_first_start_ = false;
     std::map<MemberId, Peer> peers_; // bounded: members ever heard of that the carrier connects to
 
-    Epoch highest_seen_ = 0; // of any epoch number, to stand above
-    Time primary_heard_{-1'000'000};
+    Epoch highest_epoch_seen_ = 0; // of any epoch number, to stand above
+    Time primary_heard_at_{-1'000'000};
     Time contact_at_{-1'000'000}; // a primary in contact with a quorum had heard this member at that time
-    bool heard_in_this_life_ = false;
+    bool heard_primary_since_start_ = false;
     Time role_since_{0};
-    Time started_{0};
-    Time stand_not_before_{0};
+    Time started_at_{0};
+    Time no_election_before_{0};
     Time quorum_reached_{-1}; // connected to enough witnesses since then; negative: is not
 
     // Of the disk.
-    SaveId last_ticket_ = 0;
-    bool disk_intact_ = false;            // as the register that is surely on disk says
-    std::deque<Outstanding> outstanding_; // bounded: each message of a peer asks for two at the most
-    std::deque<Waiting> waiting_;
+    SaveId last_save_id_ = 0;
+    bool durable_complete_ = false;            // as the register that is surely on disk says
+    std::deque<InFlightSave> in_flight_saves_; // bounded: each message of a peer asks for two at the most
+    std::deque<Deferred> deferred_;
     Time disk_progress_{0}; // when the disk last answered, or was first asked after it had answered all
     Time restore_at_{0};
-    Time restore_pause_{0};
+    Time restore_backoff_{0};
 
     // Of the election under way.
     Epoch candidate_epoch_ = 0;
-    std::map<MemberId, Promise> promises_;
+    std::map<MemberId, PrepareReply> prepare_replies_;
     Time quorum_since_{-1};
     EpochRecord planned_;
     std::vector<std::vector<MemberId>> groups_; // more than half of each must store the record
@@ -375,23 +374,23 @@
     std::set<MemberId> installed_;
     std::set<MemberId> accepted_by_;
     Time accept_sent_{0};
-    Time turn_pause_{0}; // of a member that won and could not serve
+    Time election_backoff_{0}; // of a member that won and could not serve
 
     // Of the primary.
-    std::uint64_t beat_number_ = 0;
-    std::deque<std::pair<std::uint64_t, Time>> beats_; // the last ones sent, bounded
-    Time beat_sent_{-1'000'000};
-    Time yield_sent_{-1'000'000};
+    std::uint64_t heartbeat_number_ = 0;
+    std::deque<std::pair<std::uint64_t, Time>> sent_heartbeats_; // the last ones sent, bounded
+    Time heartbeat_sent_at_{-1'000'000};
+    Time leadership_transfer_sent_{-1'000'000};
     std::optional<Proposal> proposal_;
     std::map<std::uint64_t, Confirmation> confirmations_; // by the caller's id
-    Time reconfigured_{-1'000'000};
+    Time reconfigured_at_{-1'000'000};
     Time primary_since_{0};
     bool planned_change_ = false; // this election changes the membership of a primary that serves
 
     // Of the recovery.
-    std::uint64_t nonce_ = 0;
-    std::map<MemberId, RecoveryReply> recovery_;
-    Time recovery_asked_{-1'000'000};
+    std::uint64_t recovery_nonce_ = 0;
+    std::map<MemberId, RecoveryReply> recovery_replies_;
+    Time recovery_requested_at_{-1'000'000};
 };
 
 } // namespace willowrill::replication
--- a/src/system/replication/types.h
+++ b/src/system/replication/types.h
@@ -35,10 +35,10 @@
 
 // The durable part of a witness.
 struct WitnessRegister {
-    Epoch promised = 0;   // takes part in no epoch below this
-    EpochRecord accepted; // the highest record stored
-    EpochRecord decided;  // the highest record known to be stored by enough witnesses
-    bool intact = false;  // the replicated state on this disk was complete when it was last installed
+    Epoch promised = 0;    // takes part in no epoch below this
+    EpochRecord accepted;  // the highest record stored
+    EpochRecord decided;   // the highest record known to be stored by enough witnesses
+    bool complete = false; // the replicated state on this disk was complete when it was last installed
     bool operator==(const WitnessRegister&) const = default;
 };
 
@@ -50,17 +50,17 @@
 
 // ---- Messages between members ----------------------------------------------------------------------------
 
-// Asks a witness to take part in no epoch below this one. `tentative`: only asks whether it would.
+// Asks a witness to take part in no epoch below this one. `pre_vote`: only asks whether it would.
 struct PrepareRequest {
     Epoch epoch = 0;
-    bool tentative = false;
+    bool pre_vote = false;
 };
 
 struct PrepareReply {
     Epoch epoch = 0;
-    bool tentative = false;
+    bool pre_vote = false;
     bool granted = false;
-    bool leaving = false;
+    bool shutting_down = false;
     WitnessRegister witness_register;
     Position position;
 };
@@ -123,10 +123,10 @@
     std::uint64_t number = 0;
     Epoch epoch = 0;
     Epoch promised = 0;
-    Position holds;      // newest committed state known to the sender
-    bool voting = false; // has a register it can vote with, and a disk that takes records
-    bool intact = false; // its state was complete when it was last installed
-    bool leaving = false;
+    Position holds;        // newest committed state known to the sender
+    bool voting = false;   // has a register it can vote with, and a disk that takes records
+    bool complete = false; // its state was complete when it was last installed
+    bool shutting_down = false;
     std::int64_t sent_at = 0; // ms of the sender's steady clock, for `Heartbeat::echo`
 };
 
@@ -147,7 +147,7 @@
     WitnessRegister witness_register;
 };
 
-// A primary that is leaving asks a backup to take over now.
+// A primary that shuts down asks a backup to take over now.
 struct LeadershipTransfer {
     Epoch epoch = 0;
 };
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -37,8 +37,8 @@
     options.tolerated = world_.tolerated;
     options.random_seed = world_.queue.draw();
     if (world_.break_no_turns) {
-        options.timing.turn_first = options.timing.turn_longest = Time{0};
-        options.timing.restore_first = options.timing.restore_longest = Time{1};
+        options.timing.election_backoff_first = options.timing.election_backoff_max = Time{0};
+        options.timing.restore_backoff_first = options.timing.restore_backoff_max = Time{1};
     }
     replica_ = std::make_unique<Replica>(options);
     orders_ = std::make_unique<control::OrderQueue>([this](Event event) { feed(std::move(event)); });
@@ -213,7 +213,7 @@
                "{} {} {} {} promised={} accepted={} decided={} intact={} position={}.{} in_sync={} "
                "witnesses={}\n",
                world_.queue.now().count(), id_, name_of(replica_->role()), replica_->role_reason(),
-               known.promised, known.accepted.epoch, known.decided.epoch, known.intact,
+               known.promised, known.accepted.epoch, known.decided.epoch, known.complete,
                replica_->state().position.epoch, replica_->state().position.sequence,
                fmt::join(known.accepted.in_sync, ","), fmt::join(known.accepted.witnesses, ","));
 }
--- a/src/system/simulation/network.cpp
+++ b/src/system/simulation/network.cpp
@@ -29,7 +29,7 @@
         queue_.after(Time(1 + queue_.uniform(40)), [this, connection] { break_up(connection); });
 }
 
-bool Network::alive(const Connection& connection) const {
+bool Network::is_alive(const Connection& connection) const {
     const auto from = running_.find(connection.from), to = running_.find(connection.to);
     return from != running_.end() && from->second == connection.from_life && to != running_.end() &&
            to->second == connection.to_life;
@@ -68,7 +68,7 @@
     Stream& stream = sender == connection->from ? connection->out : connection->in;
     const NodeId receiver = sender == connection->from ? connection->to : connection->from;
     while (connection->open && !stream.waiting.empty() && stream.waiting.front().arrival <= queue_.now()) {
-        const bool gone = !alive(*connection);
+        const bool gone = !is_alive(*connection);
         const bool held = is_cut(sender, receiver);
         if (gone && running(receiver) && !held) return break_up(connection); // it resets
         if (gone || held) {
--- a/src/system/simulation/network.h
+++ b/src/system/simulation/network.h
@@ -70,7 +70,7 @@
     void pump(const ConnectionPtr& connection, NodeId sender);
     void break_up(const ConnectionPtr& connection);
     static void forget_messages(Connection& connection);
-    bool alive(const Connection& connection) const;
+    bool is_alive(const Connection& connection) const;
 
     EventQueue& queue_;
     std::map<NodeId, std::uint64_t> running_; // to the number of its life
--- a/src/system/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -19,7 +19,7 @@
     if (up_) return;
     up_ = true;
     ++life_;
-    started_ = world_.queue.now();
+    started_at_ = world_.queue.now();
     held_.reset();
     lacks_.clear();
     world_.network.start(node_);
--- a/src/system/simulation/scheduler.h
+++ b/src/system/simulation/scheduler.h
@@ -19,7 +19,7 @@
     NodeId node() const { return node_; }
     const std::string& name() const { return name_; }
     bool up() const { return up_; }
-    Time started() const { return started_; }
+    Time started() const { return started_at_; }
     Version version() const { return held_ ? held_->configuration.version : 0; }
     const std::set<std::string>& evacuated() const { return held_ ? held_->evacuated : nothing_; }
     const configuration::Configuration* configuration() const {
@@ -47,7 +47,7 @@
     distribution::SessionId session_id_ = 0;
     bool up_ = false;
     std::uint64_t life_ = 0;
-    Time started_{0};
+    Time started_at_{0};
     std::optional<distribution::HeldState> held_;
     std::set<std::string> lacks_;
     const std::set<std::string> nothing_;
--- a/tests/system/replication/replication_test.cpp
+++ b/tests/system/replication/replication_test.cpp
@@ -132,7 +132,7 @@
     member.receive(4, "c:1", RecoveryReply{asked[0].nonce, true, voted(9, 9)});
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::backup));
     cr_assert_eq(member.witness_register()->promised, 12U);
-    cr_assert_not(member.witness_register()->intact, "its copy is gone and must not be taken for complete");
+    cr_assert_not(member.witness_register()->complete, "its copy is gone and must not be taken for complete");
 }
 
 Test(recovery, a_member_that_recovers_itself_tells_nothing) {
@@ -178,13 +178,13 @@
     for (int at = 50; epoch == 0 && at < 1000; at += 50)
         for (const PrepareRequest& request : sent<PrepareRequest>(member.step(at, Tick{})))
             epoch = request.epoch;
-    const auto promise = [&](bool tentative) {
-        return PrepareReply{epoch, tentative, true, false, {epoch, record(1, "a:1"), record(1, "a:1"), true},
+    const auto granted = [&](bool pre_vote) {
+        return PrepareReply{epoch, pre_vote, true, false, {epoch, record(1, "a:1"), record(1, "a:1"), true},
                             {}};
     };
-    member.receive(1000, "c:1", promise(true)); // so that both others are known to be alive
-    member.receive(1000, "b:1", promise(false));
-    member.receive(1000, "c:1", promise(false));
+    member.receive(1000, "c:1", granted(true)); // so that both others are known to be alive
+    member.receive(1000, "b:1", granted(false));
+    member.receive(1000, "c:1", granted(false));
     member.receive(1000, "b:1", AcceptReply{epoch, true, epoch});
     member.receive(1000, "c:1", AcceptReply{epoch, true, epoch});
     cr_assert(member.replica.is_primary());
@@ -292,15 +292,15 @@
     member.mode = ReplicaDriver::DiskMode::refuses;
     member.receive(1, "a:1", InstallRequest{7, {{7, 4}, std::make_shared<const std::string>("new")}});
     cr_assert(member.replica.role() == Role::storage_failed);
-    cr_assert_not(member.witness_register()->intact);
+    cr_assert_not(member.witness_register()->complete);
     // The disk takes the first of the records that restore it, and no more.
     member.mode = ReplicaDriver::DiskMode::holds;
     for (int at = 50; member.held() == 0 && at < 3000; at += 50)
         member.step(at, Tick{});
     cr_assert_geq(member.held(), 3U);
-    cr_assert_not(member.witness_register()->intact && member.state()->position < Position({7, 4}));
+    cr_assert_not(member.witness_register()->complete && member.state()->position < Position({7, 4}));
     member.release(3000);
-    cr_assert(member.witness_register()->intact);
+    cr_assert(member.witness_register()->complete);
     cr_assert(member.state()->position == Position({7, 4}));
 }
 
@@ -318,7 +318,7 @@
               "also where the settings speak of a first start");
     const ReplicaDriver no_state(options("b:1", false), Loaded{voted(7, 7), std::nullopt});
     cr_assert(no_state.replica.role() == Role::backup);
-    cr_assert_not(no_state.witness_register()->intact);
+    cr_assert_not(no_state.witness_register()->complete);
 }
 
 Test(primary, an_order_is_committed_once_every_copy_is_durable_the_own_one_too) {
@@ -377,9 +377,9 @@
                 epoch = request.epoch;
         waited.push_back(at - failed);
         const WitnessRegister theirs{epoch, record(1, "a:1"), record(1, "a:1"), true};
-        for (const bool tentative : {true, false})
+        for (const bool pre_vote : {true, false})
             for (const char* const from : {"b:1", "c:1"})
-                member.receive(at, from, PrepareReply{epoch, tentative, true, false, theirs, {}});
+                member.receive(at, from, PrepareReply{epoch, pre_vote, true, false, theirs, {}});
         for (const char* const from : {"b:1", "c:1"})
             member.receive(at, from, InstallReply{epoch, true, epoch});
         for (const char* const from : {"b:1", "c:1"})
