--- a/src/system/replication/codec.h
+++ b/src/system/replication/codec.h
@@ -2,6 +2,7 @@
 // on anything that is not such a message; the caller drops the connection that it came on.
 #pragma once
 
+#include "system/replication/messages.h"
 #include "system/replication/types.h"
 
 #include <nlohmann/json_fwd.hpp>
--- /dev/null
+++ b/src/system/replication/heartbeat_log.h
@@ -0,0 +1,32 @@
+// The heartbeats that a primary has sent: their numbers, and when each was sent. One thread.
+#pragma once
+
+#include "system/replication/timing.h"
+
+#include <cstdint>
+#include <deque>
+#include <optional>
+
+namespace willowrill::replication {
+
+class HeartbeatLog {
+  public:
+    // Numbers a new round of heartbeats. Numbers rise over all epochs of this process.
+    void add(Time now);
+    // Of the newest round; 0 before the first.
+    std::uint64_t number() const { return number_; }
+    // When this round was sent; nothing where that is not remembered.
+    std::optional<Time> sent_at(std::uint64_t number) const;
+    // Whether a new round is due.
+    bool is_due(Time now, Time period) const;
+
+  private:
+    struct Round {
+        std::uint64_t number = 0;
+        Time sent_at{0};
+    };
+    std::uint64_t number_ = 0;
+    std::deque<Round> rounds_; // the newest ones, bounded
+};
+
+} // namespace willowrill::replication
--- /dev/null
+++ b/src/system/replication/register_recovery.cpp
@@ -0,0 +1,46 @@
+#include "system/replication/register_recovery.h"
+
+#include <algorithm>
+
+namespace willowrill::replication {
+namespace {
+
+constexpr Time request_interval{200};
+
+} // namespace
+
+std::optional<RecoveryRequest> RegisterRecovery::request_if_due(Time now) {
+    if (requested_at_ && now - *requested_at_ < request_interval) return std::nullopt;
+    requested_at_ = now;
+    return RecoveryRequest{nonce_};
+}
+
+std::optional<WitnessRegister> RegisterRecovery::on_reply(const MemberId& self, const MemberId& from,
+                                                          const RecoveryReply& reply) {
+    if (reply.nonce != nonce_) return std::nullopt;
+    if (reply.voting)
+        registers_[from] = reply.witness_register;
+    else
+        registers_.erase(from);
+    const WitnessRegister found = highest_known();
+    const std::vector<MemberId>& group = found.accepted.witnesses;
+    const std::size_t majority = group.size() / 2 + 1;
+    const auto answered = static_cast<std::size_t>(std::ranges::count_if(
+        group, [&](const MemberId& id) { return id != self && registers_.contains(id); }));
+    if (group.empty() || answered < group.size() - majority + 1) return std::nullopt;
+    registers_.clear();
+    return found;
+}
+
+WitnessRegister RegisterRecovery::highest_known() const {
+    WitnessRegister found;
+    for (const auto& [id, known] : registers_) {
+        found.promised = std::max(found.promised, known.promised);
+        if (known.accepted.epoch > found.accepted.epoch) found.accepted = known.accepted;
+        if (known.decided.epoch > found.decided.epoch) found.decided = known.decided;
+    }
+    found.complete = false;
+    return found;
+}
+
+} // namespace willowrill::replication
--- /dev/null
+++ b/tests/system/replication/election_test.cpp
@@ -0,0 +1,61 @@
+// When a replica starts an election.
+#include "system/replication/replica.h"
+
+#include "replication/replica_driver.h"
+#include "replication/scenarios.h"
+
+#include <criterion/criterion.h>
+
+using namespace willowrill;
+using namespace willowrill::replication;
+
+Test(election, nobody_stands_without_reaching_a_quorum) {
+    ReplicaDriver member(options("a:1", true));
+    for (int at = 0; at < 20000; at += 50)
+        cr_assert(sent<PrepareRequest>(member.step(at, Tick{})).empty());
+    member.step(20000, PeerConnected{"b:1"});
+    bool stood = false;
+    for (int at = 20000; at < 22000; at += 50)
+        stood = stood || !sent<PrepareRequest>(member.step(at, Tick{})).empty();
+    cr_assert(stood);
+}
+
+Test(election, nobody_stands_beside_a_primary_that_is_heard) {
+    ReplicaDriver member(options("b:1", true));
+    member.step(0, PeerConnected{"a:1"});
+    member.step(0, PeerConnected{"c:1"});
+    for (int at = 0; at < 10000; at += 50) {
+        member.receive(at, "a:1", Heartbeat{1, record(2, "a:1"), {}});
+        cr_assert(sent<PrepareRequest>(member.step(at, Tick{})).empty());
+    }
+}
+
+// A member that won and could not serve lets the others have their turn, for longer each time.
+Test(election, who_could_not_serve_waits_longer_each_time) {
+    ReplicaDriver member = primary();
+    int at = 1010;
+    std::vector<int> waited;
+    for (int round = 0; round < 3; ++round) {
+        member.mode = ReplicaDriver::DiskMode::refuses;
+        member.step(at, propose(member, 1, "x"));
+        member.mode = ReplicaDriver::DiskMode::answers;
+        const int failed = at;
+        Epoch epoch = 0;
+        for (; epoch == 0 && at < failed + 20000; at += 50)
+            for (const PrepareRequest& request : sent<PrepareRequest>(member.step(at, Tick{})))
+                epoch = request.epoch;
+        waited.push_back(at - failed);
+        const WitnessRegister theirs{epoch, record(1, "a:1"), record(1, "a:1"), true};
+        for (const bool pre_vote : {true, false})
+            for (const char* const from : {"b:1", "c:1"})
+                member.receive(at, from, PrepareReply{epoch, pre_vote, true, false, theirs, {}});
+        for (const char* const from : {"b:1", "c:1"})
+            member.receive(at, from, InstallReply{epoch, true, epoch});
+        for (const char* const from : {"b:1", "c:1"})
+            member.receive(at, from, AcceptReply{epoch, true, epoch});
+        cr_assert(member.replica.is_primary(), "round %d", round);
+    }
+    cr_assert_geq(waited[0], 1000);
+    cr_assert_geq(waited[1], 2000);
+    cr_assert_geq(waited[2], 4000);
+}
