--- a/src/system/compression/compression.h
+++ b/src/system/compression/compression.h
@@ -1,4 +1,4 @@
-// Packs long texts, which repeat themselves much, for disks and links. By libzstd. Pure.
+// Compression of long texts, which repeat themselves much, for disks and links; by libzstd. Pure: any thread.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,11 @@
 
 namespace willowrill::compression {
 
-// The packed bytes, or the text itself where packing does not make it shorter.
-std::string pack(std::string_view text);
+// The compressed bytes, or the text itself where they would not be shorter.
+std::string compress(std::string_view text);
 
-// The text that was packed; what does not begin as packed bytes do is returned as it is. Nothing where the
-// bytes are damaged, or stand for more than `most_bytes`.
-std::optional<std::string> unpack(std::string_view bytes, std::size_t most_bytes);
+// The text that was compressed; what does not begin as compressed bytes do is returned as it is. Nothing
+// where the bytes are damaged, or stand for more than `max_size` bytes.
+std::optional<std::string> decompress(std::string_view bytes, std::size_t max_size);
 
 } // namespace willowrill::compression
--- a/src/system/configuration/control_state.cpp
+++ b/src/system/configuration/control_state.cpp
@@ -74,7 +74,7 @@
     };
     if (encoded.size() > most_state_bytes) return error(encoded.size(), most_state_bytes);
     if (encoded.size() <= most_record_bytes) return std::nullopt;
-    const std::size_t packed = compression::pack(encoded).size();
+    const std::size_t packed = compression::compress(encoded).size();
     if (packed > most_record_bytes) return error(packed, most_record_bytes);
     return std::nullopt;
 }
--- a/src/system/control/disk.cpp
+++ b/src/system/control/disk.cpp
@@ -57,7 +57,7 @@
 
 replication::Loaded Disk::load() const {
     const auto unpacked_state = [](const std::string& record) {
-        const auto text = compression::unpack(record, most_unpacked);
+        const auto text = compression::decompress(record, most_unpacked);
         if (!text) throw std::runtime_error("a packed state is damaged");
         return replication::decode_state(*text);
     };
@@ -68,7 +68,7 @@
     if (failed_ && !request.restores) return false;
     const auto* value = std::get_if<replication::WitnessRegister>(&request.record);
     failed_ = value != nullptr ? !registers_.write(replication::encode_register(*value))
-                               : !states_.write(compression::pack(replication::encode_state(
+                               : !states_.write(compression::compress(replication::encode_state(
                                      std::get<replication::ReplicatedState>(request.record))));
     return !failed_;
 }
--- a/src/system/membership/lease_table.cpp
+++ b/src/system/membership/lease_table.cpp
@@ -3,7 +3,8 @@
 namespace willowrill::membership {
 
 bool LeaseTable::renew(Time now, const Lease& lease, Source source) {
-    if (const auto over = ended_.find(lease.node); over != ended_.end() && over->second == lease.incarnation)
+    if (const auto ended = ended_incarnations_.find(lease.node);
+        ended != ended_incarnations_.end() && ended->second == lease.incarnation)
         return false;
     const auto found = entries_.find(lease.node);
     if (found == entries_.end()) {
@@ -12,10 +13,10 @@
         return true;
     }
     Entry& entry = found->second;
-    const bool same_life = entry.lease.incarnation == lease.incarnation;
-    if (same_life && lease.renewal <= entry.lease.renewal) return false;
-    if (!same_life && source == Source::core_member) return false; // the life held here lapses first
-    if (!same_life) ended_[lease.node] = entry.lease.incarnation;
+    const bool same_incarnation = entry.lease.incarnation == lease.incarnation;
+    if (same_incarnation && lease.renewal <= entry.lease.renewal) return false;
+    if (!same_incarnation && source == Source::core_member) return false; // the known one lapses first
+    if (!same_incarnation) ended_incarnations_[lease.node] = entry.lease.incarnation;
     Lease before = entry.lease;
     before.renewal = lease.renewal;
     entry = {lease, now};
@@ -25,7 +26,7 @@
 bool LeaseTable::extend(Time now, const std::string& node, std::uint64_t incarnation) {
     const auto found = entries_.find(node);
     if (found == entries_.end()) return false;
-    if (found->second.lease.incarnation == incarnation) found->second.renewed = now;
+    if (found->second.lease.incarnation == incarnation) found->second.renewed_at = now;
     return true;
 }
 
@@ -33,14 +34,14 @@
     const auto found = entries_.find(node);
     if (found == entries_.end() || found->second.lease.incarnation != incarnation) return false;
     entries_.erase(found);
-    if (ended_.size() >= most_leases) ended_.clear();
-    ended_[node] = incarnation;
+    if (ended_incarnations_.size() >= most_leases) ended_incarnations_.clear();
+    ended_incarnations_[node] = incarnation;
     return true;
 }
 
 bool LeaseTable::expire(Time now) {
-    return std::erase_if(entries_, [&](const auto& item) { return now - item.second.renewed > duration_; }) >
-           0;
+    return std::erase_if(entries_,
+                         [&](const auto& item) { return now - item.second.renewed_at > duration_; }) > 0;
 }
 
 std::vector<Lease> LeaseTable::leases() const {
--- a/src/system/membership/lease_table.h
+++ b/src/system/membership/lease_table.h
@@ -1,5 +1,6 @@
-// Membership by leases: each scheduler renews its own at a core member, and core members tell each other.
-// Bounded: at most `most_leases`. Pure.
+// Membership by leases: each scheduler renews its own at a core member, and core members replicate them to
+// each other. Knows no connections and no clock but the times it is given. Bounded: at most `most_leases`.
+// One thread.
 #pragma once
 
 #include <chrono>
@@ -31,37 +32,40 @@
     bool operator==(const Lease&) const = default;
 };
 
-// Who told of a renewal: its holder, or another core member, whose word may be late.
+// Where a renewal comes from: its holder, or another core member, by which it may come late.
 enum class Source { holder, core_member };
 
 inline constexpr std::size_t most_leases = 4096;
 
 class LeaseTable {
   public:
+    // `duration`: how long a lease lasts from its renewal on.
     explicit LeaseTable(Time duration) : duration_(duration) {}
 
-    // Takes in a renewal. Says whether the view changed beyond the renewal's number.
+    // Takes in a renewal; one that is older than what is known, or of an incarnation that has ended, changes
+    // nothing. True where the membership changed beyond the renewal's number.
     bool renew(Time now, const Lease& lease, Source source);
-    // Another core member says that this life of the holder goes on renewing there. False where no lease of
-    // the node is known; of another life nothing is changed.
+    // This incarnation of the holder goes on renewing at another core member. False where no lease of the
+    // node is known; of another incarnation nothing is changed.
     bool extend(Time now, const std::string& node, std::uint64_t incarnation);
-    // Ends a lease at once: its holder's connection has broken.
+    // Ends a lease at once, as its holder's connection has broken. True where it was known.
     bool end(const std::string& node, std::uint64_t incarnation);
-    // Removes what has lapsed. Says whether anything did.
+    // Removes the leases that have lapsed. True where there were any.
     bool expire(Time now);
 
+    // In the order of their nodes.
     std::vector<Lease> leases() const;
     std::size_t size() const { return entries_.size(); }
 
   private:
     struct Entry {
         Lease lease;
-        Time renewed{0};
+        Time renewed_at{0};
     };
     Time duration_;
     std::map<std::string, Entry> entries_; // by node
-    std::map<std::string, std::uint64_t>
-        ended_; // incarnations that are over, so that late word does not revive them
+    // Incarnations that have ended, by node, so that a late renewal does not revive them.
+    std::map<std::string, std::uint64_t> ended_incarnations_;
 };
 
 } // namespace willowrill::membership
--- a/src/system/storage/record_ring.h
+++ b/src/system/storage/record_ring.h
@@ -1,11 +1,13 @@
-// A ring of preallocated files, each holding one record, twice. A record goes to the slot after the newest
-// one and is synced in place: no file is made, grown or renamed while the system serves, and a torn write
-// leaves the record before it. The second copy keeps the newest record readable where a bit of the first one
-// rots: a reader could not tell that from a torn write, and would take the record before for the newest.
-// Knows nothing of what the records mean. One thread; `open` and `write` wait for the disk.
+// A ring of preallocated files, each a slot that holds one record, twice. A record goes to the slot after the
+// newest one and is synced in place: no file is made, grown or renamed while the system serves, and a torn
+// write leaves the record before it. The second copy keeps the newest record readable where a bit of the
+// first one rots: a reader could not tell that from a torn write, and would take the record before for the
+// newest. Knows nothing of what the records mean. One thread; `open` and `write` wait for the disk.
 #pragma once
 
 #include "system/errors/error.h"
+#include "system/storage/file.h"
+#include "system/storage/record_format.h"
 
 #include <cstddef>
 #include <cstdint>
@@ -17,58 +19,45 @@
 
 namespace willowrill::storage {
 
-// What a slot was found to hold.
-enum class SlotContent {
-    empty,   // never written
-    valid,   // a whole record
-    torn,    // a record of ours whose bytes do not match their checksum
-    foreign, // not written by this program
-    newer    // written by a later version of this program
-};
-
 class RecordRing {
   public:
-    // Makes the files that are missing, reads those that are there, and writes the newest record anew: what a
-    // killed process had written may so far stand in the system's cache alone. `room`: the longest record.
+    // Makes the files NAME-0.ring, NAME-1.ring, ... that are missing, reads those that are there, and writes
+    // the newest record anew: what a killed process had written may so far stand in the system's cache alone.
+    // `record_capacity`: the longest record, in bytes. An error of the kind storage_failed where a file
+    // cannot be opened or read, or the newest record not be written.
     static errors::Result<RecordRing> open(const std::filesystem::path& folder, std::string_view name,
-                                           std::size_t slots, std::size_t room);
-    RecordRing(RecordRing&& other) noexcept;
-    RecordRing& operator=(RecordRing&&) = delete;
-    RecordRing(const RecordRing&) = delete;
-    ~RecordRing();
+                                           std::size_t slots, std::size_t record_capacity);
 
-    // The newest whole record, if there is any.
+    // The newest complete record, if there is any.
     const std::optional<std::string>& newest() const { return newest_; }
-    // What each slot held when the ring was opened, for the operator's log.
+    // What each slot held when the ring was opened, for the operators' log.
     const std::vector<SlotContent>& found() const { return found_; }
 
     // Returns once the record will survive a loss of power, or false where the disk did not take it or it is
-    // longer than the room. After a failure the record is there or not; the next one goes to the same slot,
-    // and counts only once it was read back from a file opened anew.
+    // longer than the capacity. After a failure the record is there or not; the next one goes to the same
+    // slot, and counts only once it was read back from a file opened anew.
     bool write(std::string_view record);
 
   private:
+    struct Slot {
+        std::string path;
+        File file;
+    };
+
     RecordRing() = default;
-    bool write_slot(std::size_t slot, std::string_view bytes);
-    bool reads_back(std::size_t slot, std::string_view bytes);
+    bool open_slot(std::string path);
+    std::optional<DecodedRecord> read_slot(const File& file) const;
+    std::optional<std::string> read_copy(const File& file, std::size_t offset) const;
+    bool write_slot(Slot& slot, std::string_view copy);
+    bool reads_back(Slot& slot, std::string_view copy);
 
-    std::vector<std::string> paths_;
-    std::vector<int> files_;
+    std::vector<Slot> slots_;
     std::vector<SlotContent> found_;
     std::optional<std::string> newest_;
-    std::uint64_t serial_ = 0;
+    std::uint64_t serial_ = 0; // the highest that was used
     std::size_t next_slot_ = 0;
-    std::size_t room_ = 0;
+    std::size_t record_capacity_ = 0;
     bool suspect_ = false; // the last write failed
 };
 
-// The bytes of one copy of a record, and back; apart so that tests can tear them.
-std::string encode_copy(std::uint64_t serial, std::string_view record);
-SlotContent decode_copy(std::string_view bytes, std::uint64_t& serial, std::string& record);
-// A slot's newest whole copy.
-SlotContent decode_slot(std::string_view first_copy, std::string_view second_copy, std::uint64_t& serial,
-                        std::string& record);
-// Where the second copy begins.
-std::size_t second_copy_at(std::size_t room);
-
 } // namespace willowrill::storage
--- a/src/system/transport/frame.h
+++ b/src/system/transport/frame.h
@@ -23,7 +23,7 @@
 // The bytes of a message, made once for however many connections it goes to.
 inline Frame frame_of(const nlohmann::json& message) {
     std::string body = message.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-    if (body.size() >= packed_from) body = compression::pack(body);
+    if (body.size() >= packed_from) body = compression::compress(body);
     const auto size = static_cast<std::uint32_t>(body.size());
     auto frame = std::make_shared<std::string>();
     frame->reserve(body.size() + frame_length_bytes);
@@ -35,7 +35,7 @@
 
 // The message of a frame's bytes behind the length. Throws nlohmann::json::exception on anything else.
 inline nlohmann::json message_in(std::string_view body) {
-    const auto text = compression::unpack(body, longest_message);
+    const auto text = compression::decompress(body, longest_message);
     if (!text) throw nlohmann::json::other_error::create(502, "damaged or too long", nullptr);
     return nlohmann::json::parse(*text);
 }
--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -80,12 +80,12 @@
 
 namespace {
 
-constexpr std::size_t room = 4096;
+constexpr std::size_t record_capacity = 4096;
 
 // A slot's bytes with a record in both copies.
 std::string slot_bytes(std::uint64_t serial, const std::string& record) {
     std::string out = encode_copy(serial, record);
-    out.resize(second_copy_at(room), '\0');
+    out.resize(second_copy_offset(record_capacity), '\0');
     return out + encode_copy(serial, record);
 }
 
@@ -127,7 +127,7 @@
     const fs::path newest = folder.path() / "r-1.ring";
     const std::string good = read(newest);
     const std::size_t length = encode_copy(2, "second").size();
-    for (const std::size_t start : {std::size_t{0}, second_copy_at(room)}) {
+    for (const std::size_t start : {std::size_t{0}, second_copy_offset(record_capacity)}) {
         for (std::size_t at = start; at < start + length; ++at) {
             const Folder copy;
             fs::copy(folder.path(), copy.path(), fs::copy_options::recursive);
@@ -144,9 +144,7 @@
     for (std::size_t at = 0; at < good.size(); ++at) {
         std::string bad = good;
         bad[at] = static_cast<char>(bad[at] ^ 0x10);
-        std::uint64_t serial = 0;
-        std::string record;
-        cr_assert(decode_copy(bad, serial, record) != SlotContent::valid, "byte %zu", at);
+        cr_assert(decode_copy(bad).content != SlotContent::valid, "byte %zu", at);
     }
 }
 
@@ -166,24 +164,22 @@
 }
 
 Test(ring, foreign_and_newer_are_told_apart) {
-    std::uint64_t serial = 0;
-    std::string record, newer = encode_copy(1, "x");
+    std::string newer = encode_copy(1, "x");
     newer[8] = 9; // the version
-    cr_assert(decode_copy("something else that is long enough for a head", serial, record) ==
-              SlotContent::foreign);
-    cr_assert(decode_copy(newer, serial, record) == SlotContent::newer);
-    cr_assert(decode_copy("willow", serial, record) == SlotContent::torn);
+    cr_assert(decode_copy("something else that is long enough for a head").content == SlotContent::foreign);
+    cr_assert(decode_copy(newer).content == SlotContent::newer);
+    cr_assert(decode_copy("willow").content == SlotContent::torn);
 }
 
-Test(ring, a_record_longer_than_the_room_is_refused_whole) {
+Test(ring, a_record_longer_than_the_capacity_is_refused) {
     const Folder folder;
     {
         RecordRing ring = open(folder);
-        cr_assert(ring.write(std::string(room, 'x')));
-        cr_assert_not(ring.write(std::string(room + 1, 'y')));
-        cr_assert_eq(ring.newest()->size(), room);
+        cr_assert(ring.write(std::string(record_capacity, 'x')));
+        cr_assert_not(ring.write(std::string(record_capacity + 1, 'y')));
+        cr_assert_eq(ring.newest()->size(), record_capacity);
     }
-    expect_text(*open(folder).newest(), std::string(room, 'x'));
+    expect_text(*open(folder).newest(), std::string(record_capacity, 'x'));
 }
 
 Test(ring, a_folder_that_is_not_there_is_an_error) {
@@ -251,9 +247,9 @@
         std::make_shared<const std::string>(willowrill::configuration::most_state_bytes, 'x');
     cr_assert(open_disk(folder)->save({1, ReplicatedState{{4, 1}, content}}));
     cr_assert(*open_disk(folder)->load().state->content == *content);
-    const std::string packed = willowrill::compression::pack(*content);
+    const std::string packed = willowrill::compression::compress(*content);
     cr_assert_lt(packed.size(), 10'000U);
-    cr_assert(!willowrill::compression::unpack(packed, content->size() - 1));
-    cr_assert(!willowrill::compression::unpack(packed.substr(0, packed.size() / 2), content->size()));
-    expect_text(*willowrill::compression::unpack("{plain}", 10), "{plain}");
+    cr_assert(!willowrill::compression::decompress(packed, content->size() - 1));
+    cr_assert(!willowrill::compression::decompress(packed.substr(0, packed.size() / 2), content->size()));
+    expect_text(*willowrill::compression::decompress("{plain}", 10), "{plain}");
 }
