--- a/src/system/simulation/disk.cpp
+++ b/src/system/simulation/disk.cpp
@@ -21,7 +21,7 @@
 }
 
 void Disk::attach(OnEvent on_event) {
-    ++life_;
+    ++incarnation_;
     busy_ = false;
     failed_ = false;
     requests_.clear();
@@ -37,8 +37,8 @@
     if (requests_.empty()) return;
     busy_ = true;
     const Time stall = std::max(Time{0}, stalled_until - queue_.now());
-    queue_.after(stall + sync_time, [this, life = life_] {
-        if (life == life_) finish();
+    queue_.after(stall + sync_time, [this, incarnation = incarnation_] {
+        if (incarnation == incarnation_) finish();
     });
 }
 
@@ -65,7 +65,7 @@
 }
 
 void Disk::stop(bool power_lost) {
-    ++life_;
+    ++incarnation_;
     // The one under way may be whole already; those behind it were not begun.
     if (!requests_.empty() && busy_ && queue_.chance() < 0.5) {
         apply(cached_, requests_.front().record);
--- a/src/system/simulation/disk.h
+++ b/src/system/simulation/disk.h
@@ -43,7 +43,7 @@
 
     EventQueue& queue_;
     OnEvent on_event_;
-    std::uint64_t life_ = 0;
+    std::uint64_t incarnation_ = 0;
     bool busy_ = false;
     bool failed_ = false; // and not restored yet
     std::deque<replication::Save> requests_;
--- a/src/system/simulation/history.cpp
+++ b/src/system/simulation/history.cpp
@@ -10,7 +10,7 @@
 namespace willowrill::simulation {
 namespace {
 
-constexpr Time apply_within{2500}; // an acknowledged change is in force at schedulers in touch
+constexpr Time max_time_to_force{2500}; // an acknowledged change is in force at schedulers in touch
 
 } // namespace
 
@@ -99,22 +99,22 @@
                        const std::set<std::string>& evacuated) {
     Version due = 0;
     for (const auto& [acknowledged, at] : acknowledged_at_)
-        if (queue_.now() - at > apply_within) due = std::max(due, acknowledged);
+        if (queue_.now() - at > max_time_to_force) due = std::max(due, acknowledged);
     if (version < due)
         violation(fmt::format("{} has version {} in force, {} was acknowledged", scheduler, version, due));
     for (const auto& [zone, known] : evacuations_) {
-        if (known.unclear || known.acknowledged_at < Time{0}) continue;
-        if (queue_.now() - known.acknowledged_at <= apply_within) continue;
+        if (known.unclear || !known.acknowledged_at) continue;
+        if (queue_.now() - *known.acknowledged_at <= max_time_to_force) continue;
         if (evacuated.contains(zone) != known.acknowledged_as)
             violation(fmt::format("{} does not know that {} is {}", scheduler, zone,
                                   known.acknowledged_as ? "evacuated" : "taken back"));
     }
 }
 
-Time History::first_acknowledgement_after(Time since) const {
-    Time first{-1};
+std::optional<Time> History::first_acknowledgement_after(Time since) const {
+    std::optional<Time> first;
     for (const auto& [version, at] : acknowledged_at_)
-        if (at > since && (first < Time{0} || at < first)) first = at;
+        if (at > since && (!first || at < *first)) first = at;
     return first;
 }
 
--- a/src/system/simulation/history.h
+++ b/src/system/simulation/history.h
@@ -9,6 +9,7 @@
 #include <cstddef>
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -68,14 +69,14 @@
     Version newest_acknowledged() const { return newest_acknowledged_; }
     Version newest_seen() const { return newest_seen_; }
     std::size_t reads() const { return outcome_.reads; }
-    Time first_acknowledgement_after(Time since) const;
+    std::optional<Time> first_acknowledgement_after(Time since) const;
     Outcome& outcome() { return outcome_; }
     Outcome close();
 
   private:
     struct Evacuation {
         bool acknowledged_as = false; // what was acknowledged last
-        Time acknowledged_at{-1};
+        std::optional<Time> acknowledged_at;
         bool unclear = false; // sent since, and not acknowledged
     };
     const EventQueue& queue_;
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -14,29 +14,30 @@
 constexpr Time tick_period{50};
 constexpr std::uint64_t ticks_between_dials = 2;
 constexpr std::uint64_t ticks_between_gossip = 14;
-constexpr Time shortest_leave{900};
+constexpr Time min_shutdown_time{900};
 constexpr Time grace{7000};
-constexpr std::int64_t longest_replay = 5000; // ms
+constexpr std::int64_t max_replay_delay = 5000; // ms
 
 } // namespace
 
-Member::Member(World& world, NodeId node, MemberId id, bool initial_start)
-    : world_(world), node_(node), id_(std::move(id)), disk_(world.queue), initial_start_(initial_start) {}
+Member::Member(Environment& environment, NodeId node, MemberId id, bool initial_start)
+    : environment_(environment), node_(node), id_(std::move(id)), disk_(environment.queue),
+      initial_start_(initial_start) {}
 
 void Member::start() {
     if (up_ || removed) return;
     up_ = true;
-    ++life_;
+    ++incarnation_;
     ticks_ = 0;
     newest_ = {};
-    world_.network.start(node_);
+    environment_.network.start(node_);
     Options options;
     options.self = id_;
-    options.seeds = world_.seeds;
+    options.seeds = environment_.seeds;
     options.initial_start = std::exchange(initial_start_, false);
-    options.tolerated = world_.tolerated;
-    options.random_seed = world_.queue.draw();
-    if (world_.break_no_turns) {
+    options.tolerated = environment_.tolerated;
+    options.random_seed = environment_.queue.draw();
+    if (environment_.break_no_election_backoff) {
         options.timing.election_backoff_first = options.timing.election_backoff_max = Time{0};
         options.timing.restore_backoff_first = options.timing.restore_backoff_max = Time{1};
     }
@@ -51,7 +52,7 @@
             const auto found = schedulers_.find(session);
             if (found != schedulers_.end()) found->second.close();
         },
-        [this] { return world_.break_always_current || replica_->current(world_.queue.now()); },
+        [this] { return environment_.break_always_current || replica_->current(environment_.queue.now()); },
         [this] {
             const auto place = [](const MemberId& member) {
                 return distribution::CoreMember{member, member.substr(0, member.find(':')), "region"};
@@ -63,100 +64,104 @@
         },
         [](const membership::Lease&) {}, [](const membership::Lease&) {}});
     // The answers of a disk wait for a process that stands still.
-    disk_.attach([this, life = life_](Event event) {
-        when_awake(life, [this, event = std::move(event)] { feed(event); });
+    disk_.attach([this, incarnation = incarnation_](Event event) {
+        when_awake(incarnation, [this, event = std::move(event)] { feed(event); });
     });
-    for (const MemberId& seed : world_.seeds)
-        know(seed);
+    for (const MemberId& seed : environment_.seeds)
+        add_peer(seed);
     feed(disk_.load());
-    tick(life_);
+    tick(incarnation_);
 }
 
 void Member::stop(bool power_lost) {
     if (!up_) return;
     up_ = false;
-    ++life_;
-    world_.network.stop(node_, power_lost);
+    ++incarnation_;
+    environment_.network.stop(node_, power_lost);
     disk_.stop(power_lost);
     events_.clear();
     feeding_ = false;
-    frozen_until_ = Time{-1};
+    frozen_until_.reset();
     when_awake_.clear();
     links_.clear();
-    known_.clear();
+    peers_.clear();
     dialling_.clear();
     schedulers_.clear();
     past_orders_.push_back(std::move(orders_));
-    ended_ = nullptr;
-    left_at_ = Time{0};
+    on_ended_ = nullptr;
+    shutdown_began_at_ = Time{0};
 }
 
 void Member::later(Time delay, std::function<void()> act) {
-    world_.queue.after(delay, [this, life = life_, act = std::move(act)] { when_awake(life, act); });
+    environment_.queue.after(
+        delay, [this, incarnation = incarnation_, act = std::move(act)] { when_awake(incarnation, act); });
 }
 
-void Member::when_awake(std::uint64_t life, std::function<void()> act) {
-    if (!up_ || life != life_) return;
+void Member::when_awake(std::uint64_t incarnation, std::function<void()> act) {
+    if (!up_ || incarnation != incarnation_) return;
     if (!frozen() && when_awake_.empty()) return act();
     when_awake_.push_back(std::move(act));
 }
 
 void Member::freeze(Time duration) {
     if (!up_) return;
-    frozen_until_ = std::max(frozen_until_, world_.queue.now() + duration);
-    world_.queue.after(frozen_until_ - world_.queue.now() + Time{1}, [this, life = life_] {
-        if (up_ && life == life_ && !frozen()) thaw(); // or a later fault keeps it so
-    });
+    frozen_until_ = std::max(frozen_until_, std::optional(environment_.queue.now() + duration));
+    environment_.queue.after(*frozen_until_ - environment_.queue.now() + Time{1},
+                             [this, incarnation = incarnation_] {
+                                 if (up_ && incarnation == incarnation_ && !frozen())
+                                     thaw(); // or a later fault keeps it so
+                             });
 }
 
 void Member::thaw() {
-    if (frozen_until_ < Time{0}) return;
-    frozen_until_ = Time{-1};
-    const std::uint64_t life = life_;
-    while (up_ && life == life_ && !frozen() && !when_awake_.empty()) {
+    if (!frozen_until_) return;
+    frozen_until_.reset();
+    const std::uint64_t incarnation = incarnation_;
+    while (up_ && incarnation == incarnation_ && !frozen() && !when_awake_.empty()) {
         const auto act = std::move(when_awake_.front());
         when_awake_.pop_front();
         act();
     }
 }
 
-void Member::tick(std::uint64_t life) {
-    if (!up_ || life != life_) return;
+void Member::tick(std::uint64_t incarnation) {
+    if (!up_ || incarnation != incarnation_) return;
     ++ticks_;
     feed(Tick{});
-    if (!up_ || life != life_) return;
+    if (!up_ || incarnation != incarnation_) return;
     if (ticks_ % ticks_between_dials == 0) dial_others();
     if (ticks_ % ticks_between_gossip == 0) gossip();
-    check_leave();
-    if (up_ && life == life_) later(tick_period, [this, life] { tick(life); });
+    end_if_possible();
+    if (up_ && incarnation == incarnation_) later(tick_period, [this, incarnation] { tick(incarnation); });
 }
 
-void Member::know(const MemberId& id) {
-    if (id != id_) known_.insert(id);
+void Member::add_peer(const MemberId& id) {
+    if (id != id_) peers_.insert(id);
 }
 
 void Member::dial_others() {
     for (const auto* record : {&replica_->witness_register().accepted, &replica_->witness_register().decided})
         for (const MemberId& id : record->witnesses)
-            know(id);
-    for (const MemberId& id : known_) {
-        Member* other = world_.find(id);
+            add_peer(id);
+    for (const MemberId& id : peers_) {
+        Member* other = environment_.find(id);
         if (other == nullptr || links_.contains(id) || !dialling_.insert(id).second) continue;
-        world_.network.dial(node_, other->node(), [this, id, life = life_](const ConnectionPtr& connection) {
-            when_awake(life, [this, id, connection] {
-                dialling_.erase(id);
-                if (!connection || !connection->open) return;
-                links_[id] = connection;
-                connection->closed_at_dialler = [this, id, life = life_] {
-                    when_awake(life, [this, id] {
-                        links_.erase(id);
-                        feed(PeerDisconnected{id});
-                    });
-                };
-                send_to(id, [id = id_](Member& to) { to.know(id); });
-                feed(PeerConnected{id});
+        environment_.network.dial(
+            node_, other->node(), [this, id, incarnation = incarnation_](const ConnectionPtr& connection) {
+                when_awake(incarnation, [this, id, connection] {
+                    dialling_.erase(id);
+                    if (!connection || !connection->open) return;
+                    links_[id] = connection;
+                    connection->closed_at_dialler = [this, id, incarnation = incarnation_] {
+                        when_awake(incarnation, [this, id] {
+                            links_.erase(id);
+                            feed(PeerDisconnected{id});
+                        });
+                    };
+                    send_to(id, [id = id_](Member& to) { to.add_peer(id); });
+                    feed(PeerConnected{id});
+                });
             });
-        });
     }
 }
 
@@ -167,15 +172,15 @@
     for (const MemberId& to : reached)
         send_to(to, [reached](Member& other) {
             for (const MemberId& id : reached)
-                other.know(id);
+                other.add_peer(id);
         });
 }
 
 void Member::send_to(const MemberId& to, std::function<void(Member&)> deliver) {
     const auto link = links_.find(to);
-    Member* other = world_.find(to);
+    Member* other = environment_.find(to);
     if (link == links_.end() || other == nullptr) return;
-    world_.network.send(link->second, node_, [other, deliver = std::move(deliver)] {
+    environment_.network.send(link->second, node_, [other, deliver = std::move(deliver)] {
         other->when_running([other, deliver] { deliver(*other); });
     });
 }
@@ -184,26 +189,27 @@
     if (!up_) return;
     events_.push_back(std::move(event));
     if (std::exchange(feeding_, true)) return;
-    const std::uint64_t life = life_;
-    while (up_ && life_ == life && !events_.empty()) {
+    const std::uint64_t incarnation = incarnation_;
+    while (up_ && incarnation_ == incarnation && !events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
         std::vector<Action> actions;
         const Role before = replica_->role();
-        replica_->step(world_.queue.now(), next, actions);
-        if (world_.trace) trace_role(before);
+        replica_->step(environment_.queue.now(), next, actions);
+        if (environment_.trace) trace_role(before);
         for (const Action& action : actions)
-            if (up_ && life_ == life) carry_out(action);
+            if (up_ && incarnation_ == incarnation) carry_out(action);
     }
-    if (life_ == life) feeding_ = false;
+    if (incarnation_ == incarnation) feeding_ = false;
 }
 
 // A copy of a message, long after it: whoever sent it may have ended meanwhile.
 void Member::replay_later(const MemberId& to, const std::function<void(Member&)>& deliver) {
-    Member* other = world_.find(to);
+    Member* other = environment_.find(to);
     if (other == nullptr) return;
-    world_.queue.after(Time(world_.queue.uniform(longest_replay)),
-                       [other, deliver] { other->when_running([other, deliver] { deliver(*other); }); });
+    environment_.queue.after(Time(environment_.queue.uniform(max_replay_delay)), [other, deliver] {
+        other->when_running([other, deliver] { deliver(*other); });
+    });
 }
 
 void Member::trace_role(Role before) const {
@@ -212,7 +218,7 @@
     fmt::print(stderr,
                "{} {} {} {} promised={} accepted={} decided={} intact={} position={}.{} in_sync={} "
                "witnesses={}\n",
-               world_.queue.now().count(), id_, name_of(replica_->role()), replica_->role_reason(),
+               environment_.queue.now().count(), id_, name_of(replica_->role()), replica_->role_reason(),
                known.promised, known.accepted.epoch, known.decided.epoch, known.complete,
                replica_->state().position.epoch, replica_->state().position.sequence,
                fmt::join(known.accepted.in_sync, ","), fmt::join(known.accepted.witnesses, ","));
@@ -220,22 +226,24 @@
 
 void Member::carry_out(const Action& action) {
     if (const auto* send = std::get_if<Send>(&action)) {
-        if (world_.break_no_turns && std::holds_alternative<LeadershipTransfer>(send->message)) return;
+        if (environment_.break_no_election_backoff &&
+            std::holds_alternative<LeadershipTransfer>(send->message))
+            return;
         const auto* request = std::get_if<ReplicateRequest>(&send->message);
-        if (request != nullptr && world_.break_answers_for_others) {
+        if (request != nullptr && environment_.break_answers_for_others) {
             const ReplicateReply forged{request->epoch, request->state.position, true, request->epoch};
             later(Time{1}, [this, from = send->to, forged] { feed(Received{from, forged}); });
-            if (world_.queue.chance() < 0.5) return;
+            if (environment_.queue.chance() < 0.5) return;
         }
         const auto deliver = [from = id_, message = send->message](Member& to) {
             to.feed(Received{from, message});
         };
-        if (world_.queue.chance() < world_.replays) replay_later(send->to, deliver);
+        if (environment_.queue.chance() < environment_.replays) replay_later(send->to, deliver);
         return send_to(send->to, deliver);
     }
     if (const auto* save = std::get_if<Save>(&action)) {
         if (fails_as_primary && replica_->is_primary())
-            disk_.refusing_until = world_.queue.now() + disk_.sync_time + Time{1};
+            disk_.refusing_until = environment_.queue.now() + disk_.sync_time + Time{1};
         return disk_.save(*save);
     }
     if (const auto* done = std::get_if<Committed>(&action)) return orders_->on(*done);
@@ -244,31 +252,31 @@
     on_committed();
 }
 
-// Members agree on what stands at a position, and none goes back within its life.
+// Members agree on what stands at a position, and none goes back within its incarnation.
 void Member::on_committed() {
     const ReplicatedState& state = replica_->committed();
-    if (state.position < newest_) world_.history.violation(id_ + " went back");
+    if (state.position < newest_) environment_.history.violation(id_ + " went back");
     newest_ = state.position;
-    world_.history.committed(state.position, *state.content);
-    world_.history.epoch_in_force(replica_->witness_register().decided.epoch);
+    environment_.history.committed(state.position, *state.content);
+    environment_.history.epoch_in_force(replica_->witness_register().decided.epoch);
     auto decoded = configuration::decode(*state.content).value();
-    if (break_remembers) decoded.taken.clear();
+    if (break_forgets_orders) decoded.taken.clear();
     orders_->on_state(decoded, state.position);
     if (decoded.version > 0) hub_->publish_state(state.position, decoded);
 }
 
-void Member::leave(std::function<void()> ended) {
+void Member::shut_down(std::function<void()> on_ended) {
     if (!up_) return;
-    ended_ = std::move(ended);
-    left_at_ = world_.queue.now();
+    on_ended_ = std::move(on_ended);
+    shutdown_began_at_ = environment_.queue.now();
     feed(BeginShutdown{});
 }
 
-void Member::check_leave() {
-    if (!ended_) return;
-    const Time since = world_.queue.now() - left_at_;
-    if (since < shortest_leave || (since < grace && !replica_->may_end(world_.queue.now()))) return;
-    const auto ended = std::move(ended_);
+void Member::end_if_possible() {
+    if (!on_ended_) return;
+    const Time since = environment_.queue.now() - shutdown_began_at_;
+    if (since < min_shutdown_time || (since < grace && !replica_->may_end(environment_.queue.now()))) return;
+    const auto ended = std::move(on_ended_);
     stop(false);
     ended();
 }
--- a/src/system/simulation/member.h
+++ b/src/system/simulation/member.h
@@ -13,6 +13,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -24,7 +25,7 @@
 class Member;
 
 // What all members of a run have in common.
-struct World {
+struct Environment {
     EventQueue& queue;
     Network& network;
     History& history;
@@ -35,18 +36,18 @@
     // Deliberate breaks.
     bool break_answers_for_others = false;
     bool break_always_current = false;
-    bool break_no_turns = false;
+    bool break_no_election_backoff = false;
     bool trace = false;
 };
 
 class Member {
   public:
-    Member(World& world, NodeId node, MemberId id, bool initial_start);
+    Member(Environment& environment, NodeId node, MemberId id, bool initial_start);
 
     const MemberId& id() const { return id_; }
     NodeId node() const { return node_; }
     bool up() const { return up_; }
-    bool frozen() const { return world_.queue.now() <= frozen_until_; }
+    bool frozen() const { return frozen_until_ && environment_.queue.now() <= *frozen_until_; }
     bool answers() const { return up_ && !frozen(); }
     replication::Replica& replica() { return *replica_; }
     control::OrderQueue& orders() { return *orders_; }
@@ -56,11 +57,11 @@
     void stop(bool power_lost);
     void freeze(Time duration);
     void thaw();
-    // Begins to leave; `ended` comes once the process has ended.
-    void leave(std::function<void()> ended);
+    // Begins a graceful shutdown; `on_ended` is called once the process has ended.
+    void shut_down(std::function<void()> on_ended);
     void feed(replication::Event event);
-    // Runs this now, or once the process wakes; never in another life of it.
-    void when_running(std::function<void()> act) { when_awake(life_, std::move(act)); }
+    // Runs this now, or once the process wakes; never in another incarnation of it.
+    void when_running(std::function<void()> act) { when_awake(incarnation_, std::move(act)); }
 
     // A scheduler's connection, accepted here, and what comes on it.
     using ToScheduler = std::function<void(const nlohmann::json&)>;
@@ -68,30 +69,30 @@
     void on_scheduler_message(distribution::SessionId id, const nlohmann::json& message);
     void on_scheduler_closed(distribution::SessionId id);
 
-    bool removed = false;          // it has ended for good
-    bool fails_as_primary = false; // its disk refuses all saves while it is the primary
-    bool break_remembers = false;  // deliberate: orders taken are not remembered
+    bool removed = false;              // it has ended for good
+    bool fails_as_primary = false;     // its disk refuses all saves while it is the primary
+    bool break_forgets_orders = false; // deliberate: orders taken are not remembered
 
   private:
     struct SchedulerEnd {
         ToScheduler send;
         std::function<void()> close;
     };
-    void tick(std::uint64_t life);
+    void tick(std::uint64_t incarnation);
     void dial_others();
     void gossip();
-    void know(const MemberId& id);
-    // Runs this later in this life of the process; while it is frozen, once it wakes.
+    void add_peer(const MemberId& id);
+    // Runs this later in this incarnation of the process; while it is frozen, once it wakes.
     void later(Time delay, std::function<void()> act);
-    void when_awake(std::uint64_t life, std::function<void()> act);
+    void when_awake(std::uint64_t incarnation, std::function<void()> act);
     void carry_out(const replication::Action& action);
     void send_to(const MemberId& to, std::function<void(Member&)> deliver);
     void replay_later(const MemberId& to, const std::function<void(Member&)>& deliver);
     void on_committed();
-    void check_leave();
+    void end_if_possible();
     void trace_role(replication::Role before) const;
 
-    World& world_;
+    Environment& environment_;
     NodeId node_;
     MemberId id_;
     Disk disk_;
@@ -103,17 +104,17 @@
     std::deque<replication::Event> events_;
     bool feeding_ = false;
     bool up_ = false;
-    std::uint64_t life_ = 0;
+    std::uint64_t incarnation_ = 0;
     std::uint64_t ticks_ = 0;
-    Time frozen_until_{-1};
+    std::optional<Time> frozen_until_;
     std::deque<std::function<void()>> when_awake_; // what came while it was frozen, in its order
     std::map<MemberId, ConnectionPtr> links_;      // those that are up
-    std::set<MemberId> known_, dialling_;
+    std::set<MemberId> peers_, dialling_;
     std::map<distribution::SessionId, SchedulerEnd> schedulers_;
     distribution::SessionId last_session_ = 0;
-    replication::Position newest_; // committed in this life
-    Time left_at_{0};
-    std::function<void()> ended_;
+    replication::Position newest_; // committed in this incarnation
+    Time shutdown_began_at_{0};
+    std::function<void()> on_ended_;
 };
 
 } // namespace willowrill::simulation
--- a/src/system/simulation/network.cpp
+++ b/src/system/simulation/network.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void Network::start(NodeId node) { running_[node] = ++lives_; }
+void Network::start(NodeId node) { running_[node] = ++last_incarnation_; }
 
 void Network::stop(NodeId node, bool power_lost) {
     running_.erase(node);
@@ -31,24 +31,24 @@
 
 bool Network::is_alive(const Connection& connection) const {
     const auto from = running_.find(connection.from), to = running_.find(connection.to);
-    return from != running_.end() && from->second == connection.from_life && to != running_.end() &&
-           to->second == connection.to_life;
+    return from != running_.end() && from->second == connection.from_incarnation && to != running_.end() &&
+           to->second == connection.to_incarnation;
 }
 
 void Network::dial(NodeId from, NodeId to, std::function<void(ConnectionPtr)> done) {
-    const std::uint64_t life = running_.at(from);
+    const std::uint64_t incarnation = running_.at(from);
     const bool refused = !running(to) && !is_cut(from, to) && !is_cut(to, from);
     const Time delay(refused || reaches(from, to) ? Time(2 * shortest_delay + Time(queue_.uniform(20)))
                                                   : dial_timeout);
-    queue_.after(delay, [this, from, to, life, done = std::move(done)] {
+    queue_.after(delay, [this, from, to, incarnation, done = std::move(done)] {
         const auto self = running_.find(from);
-        if (self == running_.end() || self->second != life) return;
+        if (self == running_.end() || self->second != incarnation) return;
         if (!reaches(from, to)) return done(nullptr);
         auto connection = std::make_shared<Connection>();
         connection->from = from;
         connection->to = to;
-        connection->from_life = life;
-        connection->to_life = running_.at(to);
+        connection->from_incarnation = incarnation;
+        connection->to_incarnation = running_.at(to);
         connection->serial = ++serials_;
         connections_.emplace(connection->serial, connection);
         done(connection);
@@ -96,12 +96,12 @@
     if (!std::exchange(connection->open, false)) return;
     connections_.erase(connection->serial);
     forget_messages(*connection);
-    const auto tell = [&](NodeId node, std::uint64_t life, const std::function<void()>& closed) {
+    const auto tell = [&](NodeId node, std::uint64_t incarnation, const std::function<void()>& closed) {
         const auto found = running_.find(node);
-        if (found != running_.end() && found->second == life && closed) closed();
+        if (found != running_.end() && found->second == incarnation && closed) closed();
     };
-    tell(connection->from, connection->from_life, connection->closed_at_dialler);
-    tell(connection->to, connection->to_life, connection->closed_at_acceptor);
+    tell(connection->from, connection->from_incarnation, connection->closed_at_dialler);
+    tell(connection->to, connection->to_incarnation, connection->closed_at_acceptor);
 }
 
 void Network::close(const ConnectionPtr& connection, NodeId by) {
--- a/src/system/simulation/network.h
+++ b/src/system/simulation/network.h
@@ -30,7 +30,7 @@
 struct Connection {
     std::uint64_t serial = 0;
     NodeId from = 0, to = 0; // who dialled whom
-    std::uint64_t from_life = 0, to_life = 0;
+    std::uint64_t from_incarnation = 0, to_incarnation = 0;
     bool open = true;
     std::function<void()> closed_at_dialler, closed_at_acceptor;
     Stream out, in;                                // from the dialler, and to it
@@ -73,8 +73,8 @@
     bool is_alive(const Connection& connection) const;
 
     EventQueue& queue_;
-    std::map<NodeId, std::uint64_t> running_; // to the number of its life
-    std::uint64_t lives_ = 0, serials_ = 0;
+    std::map<NodeId, std::uint64_t> running_; // to the number of its incarnation
+    std::uint64_t last_incarnation_ = 0, serials_ = 0;
     std::set<std::pair<NodeId, NodeId>> cuts_;
     std::map<std::uint64_t, ConnectionPtr> connections_; // by serial: chance takes them in one order
 };
--- a/src/system/simulation/operators.cpp
+++ b/src/system/simulation/operators.cpp
@@ -10,9 +10,9 @@
 namespace willowrill::simulation {
 namespace {
 
-constexpr Time patience{1000};         // an operator moves on after that
-constexpr Time evacuation_again{5000}; // an evacuation is not sent again after that
-constexpr int most_redirects = 2;
+constexpr Time answer_timeout{1000};     // an operator moves on after that
+constexpr Time evacuation_timeout{5000}; // an evacuation is not sent again after that
+constexpr int max_redirects = 2;
 
 // No two orders have the same text.
 std::string patch_of(Version version, std::uint64_t author, std::uint64_t names, bool valid) {
@@ -30,79 +30,79 @@
 
 } // namespace
 
-Operators::Operators(World& world, std::deque<Member>& members, Habits habits)
-    : world_(world), members_(members), habits_(habits) {}
+Operators::Operators(Environment& environment, std::deque<Member>& members, Habits habits)
+    : environment_(environment), members_(members), habits_(habits) {}
 
 void Operators::start() {
     for (std::size_t author = 1; author <= habits_.operators; ++author)
-        world_.queue.after(Time(world_.queue.uniform(1000)), [this, author] { act(author); });
+        environment_.queue.after(Time(environment_.queue.uniform(1000)), [this, author] { act(author); });
 }
 
 void Operators::act(std::size_t author) {
-    const double what = world_.queue.chance();
+    const double what = environment_.queue.chance();
     if (what < 0.2)
         read_anywhere();
     else if (what < 0.35)
         evacuate(author);
     else
         change(author);
-    world_.queue.after(habits_.shortest_pause + Time(world_.queue.uniform(habits_.pause_spread)),
-                       [this, author] { act(author); });
+    environment_.queue.after(habits_.shortest_pause + Time(environment_.queue.uniform(habits_.pause_spread)),
+                             [this, author] { act(author); });
 }
 
 Member* Operators::some_member() {
     std::vector<Member*> found;
     for (Member& member : members_)
         if (member.answers()) found.push_back(&member);
-    return found.empty() ? nullptr : found[world_.queue.index(found.size())];
+    return found.empty() ? nullptr : found[environment_.queue.index(found.size())];
 }
 
 Member* Operators::answering() {
     Member* member = some_member();
-    for (int hops = 0; member != nullptr && hops <= most_redirects; ++hops) {
+    for (int hops = 0; member != nullptr && hops <= max_redirects; ++hops) {
         if (!member->answers()) return nullptr;
         if (member->replica().is_primary()) return member;
         const auto primary = member->replica().primary();
-        member = primary && *primary != member->id() ? world_.find(*primary) : nullptr;
+        member = primary && *primary != member->id() ? environment_.find(*primary) : nullptr;
     }
     return nullptr;
 }
 
 void Operators::change(std::size_t author) {
     Member* member = answering();
-    if (member == nullptr || world_.queue.now() < waits_until_[author]) return;
-    waits_until_[author] = world_.queue.now() + patience;
+    if (member == nullptr || environment_.queue.now() < waits_until_[author]) return;
+    waits_until_[author] = environment_.queue.now() + answer_timeout;
     // An order that had no clear answer is sent again, unchanged.
     std::shared_ptr<ChangeOrder>& order = pending_[author];
     if (!order) {
         order = std::make_shared<ChangeOrder>();
-        order->based_on = world_.history.newest_seen();
-        order->version = order->based_on + 1 + static_cast<Version>(world_.queue.uniform(4));
-        order->valid = world_.queue.chance() >= 0.05;
-        order->patch = order->based_on > 0 && world_.queue.chance() < 0.5;
+        order->based_on = environment_.history.newest_seen();
+        order->version = order->based_on + 1 + static_cast<Version>(environment_.queue.uniform(4));
+        order->valid = environment_.queue.chance() >= 0.05;
+        order->patch = order->based_on > 0 && environment_.queue.chance() < 0.5;
         const std::uint64_t identity = author * 1'000'000 + ++orders_;
         order->body = order->patch ? patch_of(order->version, identity, orders_, order->valid)
                                    : body_of(order->version, identity, order->valid);
-        world_.history.sent(*order);
+        environment_.history.sent(*order);
     }
-    const Time asked = world_.queue.now();
+    const Time asked = environment_.queue.now();
     configuration::Order sent = configuration::PutConfiguration{order->based_on, order->body};
     if (order->patch) sent = configuration::PatchConfiguration{order->based_on, order->body};
     member->orders().submit(std::move(sent),
                             [this, author, order, asked](const control::OrderResult& result) {
-                                if (world_.queue.chance() >= habits_.lost_answers)
+                                if (environment_.queue.chance() >= habits_.lost_answers)
                                     on_change_answer(author, order, asked, result);
                             });
 }
 
 void Operators::on_change_answer(std::size_t author, const std::shared_ptr<ChangeOrder>& order, Time asked,
                                  const control::OrderResult& result) {
-    if (world_.queue.now() - asked > patience) return; // the operator has moved on
+    if (environment_.queue.now() - asked > answer_timeout) return; // the operator has moved on
     waits_until_[author] = Time{0};
     if (!result && !is_refusal(result.error().kind)) return;
     if (pending_[author] == order) pending_[author] = nullptr;
-    if (result) return world_.history.acknowledged(*order);
-    world_.history.refused(*order, result.error().kind == errors::ErrorKind::invalid_configuration);
+    if (result) return environment_.history.acknowledged(*order);
+    environment_.history.refused(*order, result.error().kind == errors::ErrorKind::invalid_configuration);
     read_anywhere(); // to learn the current version
 }
 
@@ -110,23 +110,25 @@
     Member* member = answering();
     if (member == nullptr) return;
     Evacuation& mine = evacuations_[author];
-    const Time now = world_.queue.now();
-    if (!mine.pending || now - mine.first_sent > evacuation_again) {
+    const Time now = environment_.queue.now();
+    if (!mine.pending || now - mine.first_sent > evacuation_timeout) {
         mine.evacuated = !mine.evacuated;
         mine.pending = true;
         mine.first_sent = now;
     }
     const std::string zone = fmt::format("zone-{}", author);
-    world_.history.evacuation_sent(zone, mine.evacuated);
+    environment_.history.evacuation_sent(zone, mine.evacuated);
     configuration::Order order = configuration::EndEvacuation{zone};
     if (mine.evacuated) order = configuration::Evacuate{zone};
     member->orders().submit(std::move(order), [this, author, zone, asked = now,
                                                wanted = mine.evacuated](const control::OrderResult& result) {
-        if (world_.queue.chance() < habits_.lost_answers || world_.queue.now() - asked > patience) return;
+        if (environment_.queue.chance() < habits_.lost_answers ||
+            environment_.queue.now() - asked > answer_timeout)
+            return;
         Evacuation& known = evacuations_[author];
         if (!result || known.evacuated != wanted || !known.pending) return;
         known.pending = false;
-        world_.history.evacuation_acknowledged(zone, wanted);
+        environment_.history.evacuation_acknowledged(zone, wanted);
     });
 }
 
@@ -138,18 +140,19 @@
     std::vector<Member*> found;
     for (Member& member : members_)
         if (member.answers() && member.replica().is_primary()) found.push_back(&member);
-    if (!found.empty()) read_at(*found[world_.queue.index(found.size())]);
+    if (!found.empty()) read_at(*found[environment_.queue.index(found.size())]);
 }
 
 void Operators::read_at(Member& member) {
-    const Version at_least = world_.history.newest_acknowledged();
-    const Time asked = world_.queue.now();
+    const Version at_least = environment_.history.newest_acknowledged();
+    const Time asked = environment_.queue.now();
     if (habits_.unconfirmed_reads) {
         const auto state = configuration::decode(*member.replica().committed().content);
-        return world_.history.read(state.value().configuration, at_least);
+        return environment_.history.read(state.value().configuration, at_least);
     }
     member.orders().read([this, at_least, asked](const errors::Result<std::string>& text) {
-        if (text && world_.queue.now() - asked <= patience) world_.history.read(text.value(), at_least);
+        if (text && environment_.queue.now() - asked <= answer_timeout)
+            environment_.history.read(text.value(), at_least);
     });
 }
 
--- a/src/system/simulation/operators.h
+++ b/src/system/simulation/operators.h
@@ -22,7 +22,7 @@
         bool unconfirmed_reads = false;  // a deliberate break: what a member takes for the state is read
     };
     // `members`: all that ever ran, those removed too.
-    Operators(World& world, std::deque<Member>& members, Habits habits);
+    Operators(Environment& environment, std::deque<Member>& members, Habits habits);
 
     void start();
     // One member that takes itself for the primary is asked at once, where there is any.
@@ -46,7 +46,7 @@
     void on_change_answer(std::size_t author, const std::shared_ptr<ChangeOrder>& order, Time asked,
                           const control::OrderResult& result);
 
-    World& world_;
+    Environment& environment_;
     std::deque<Member>& members_;
     Habits habits_;
     std::uint64_t orders_ = 0;
--- a/src/system/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -12,60 +12,60 @@
 
 } // namespace
 
-Scheduler::Scheduler(World& world, NodeId node, std::string name)
-    : world_(world), node_(node), name_(std::move(name)) {}
+Scheduler::Scheduler(Environment& environment, NodeId node, std::string name)
+    : environment_(environment), node_(node), name_(std::move(name)) {}
 
 void Scheduler::start() {
     if (up_) return;
     up_ = true;
-    ++life_;
-    started_at_ = world_.queue.now();
+    ++incarnation_;
+    started_at_ = environment_.queue.now();
     held_.reset();
     lacks_.clear();
-    world_.network.start(node_);
+    environment_.network.start(node_);
     const auto hosts = [this] {
         std::vector<std::string> out;
-        for (const MemberId& seed : world_.seeds)
+        for (const MemberId& seed : environment_.seeds)
             out.push_back(host_of(seed));
         return out;
     };
     // Each member stands in a zone of its own, named as its host; some schedulers' zones have none.
-    const auto own = static_cast<std::size_t>(node_) % (world_.seeds.size() + 1);
-    const std::string zone = own < world_.seeds.size() ? host_of(world_.seeds[own]) : "elsewhere";
+    const auto own = static_cast<std::size_t>(node_) % (environment_.seeds.size() + 1);
+    const std::string zone = own < environment_.seeds.size() ? host_of(environment_.seeds[own]) : "elsewhere";
     session_.emplace(hosts, distribution::CoreSession::Place{zone, "region"});
-    tick(life_);
+    tick(incarnation_);
 }
 
 void Scheduler::stop() {
     if (!up_) return;
     up_ = false;
-    ++life_;
+    ++incarnation_;
     connection_ = nullptr;
-    world_.network.stop(node_, false);
+    environment_.network.stop(node_, false);
 }
 
-void Scheduler::tick(std::uint64_t life) {
-    if (!up_ || life != life_) return;
+void Scheduler::tick(std::uint64_t incarnation) {
+    if (!up_ || incarnation != incarnation_) return;
     feed(distribution::SessionTick{});
-    world_.queue.after(tick_period, [this, life] { tick(life); });
+    environment_.queue.after(tick_period, [this, incarnation] { tick(incarnation); });
 }
 
 void Scheduler::feed(const distribution::SessionEvent& event) {
     std::vector<distribution::SessionAction> actions;
-    session_->step(world_.queue.now(), event, actions);
+    session_->step(environment_.queue.now(), event, actions);
     for (const distribution::SessionAction& action : actions)
         std::visit([this](const auto& one) { carry_out(one); }, action);
 }
 
 void Scheduler::carry_out(const distribution::Dial& dial) {
-    Member* member = world_.find(dial.host + ":8000");
-    const auto done = [this, member, life = life_](const ConnectionPtr& connection) {
-        if (!up_ || life != life_) return;
+    Member* member = environment_.find(dial.host + ":8000");
+    const auto done = [this, member, incarnation = incarnation_](const ConnectionPtr& connection) {
+        if (!up_ || incarnation != incarnation_) return;
         if (!connection || !connection->open) return feed(distribution::DialFailed{});
         on_connected(connection, *member);
     };
-    if (member == nullptr) return world_.queue.after(tick_period, [done] { done(nullptr); });
-    world_.network.dial(node_, member->node(), done);
+    if (member == nullptr) return environment_.queue.after(tick_period, [done] { done(nullptr); });
+    environment_.network.dial(node_, member->node(), done);
 }
 
 void Scheduler::on_connected(const ConnectionPtr& connection, Member& member) {
@@ -82,53 +82,55 @@
 }
 
 void Scheduler::carry_out(const distribution::Disconnect&) {
-    if (const auto connection = std::exchange(connection_, nullptr)) world_.network.close(connection, node_);
+    if (const auto connection = std::exchange(connection_, nullptr))
+        environment_.network.close(connection, node_);
 }
 
 void Scheduler::carry_out(const distribution::RenewLease& renewal) {
     if (!connection_) return;
     membership::Lease lease;
     lease.node = name_;
-    lease.incarnation = life_;
+    lease.incarnation = incarnation_;
     lease.renewal = renewal.renewal;
     const nlohmann::json message = distribution::lease_message(
         lease, held_ ? std::optional(held_->position) : std::nullopt, std::exchange(lacks_, {}));
-    world_.network.send(connection_, node_, [this, connection = connection_, member = member_, message] {
-        if (!member->up()) return;
-        member->when_running([this, connection, member, message] {
-            if (!connection->open) return;
-            if (!connection->acceptor_session) {
-                const auto send = [this, connection, member](const nlohmann::json& pushed) {
-                    world_.network.send(connection, member->node(), [this, connection, pushed] {
-                        if (connection_ == connection) feed(distribution::MessageReceived{pushed});
-                    });
-                };
-                const auto close = [this, connection, member] {
-                    world_.network.close(connection, member->node());
-                };
-                const auto id = member->accept_scheduler(send, close);
-                connection->acceptor_session = id;
-                connection->closed_at_acceptor = [member, id] { member->on_scheduler_closed(id); };
-            }
-            member->on_scheduler_message(*connection->acceptor_session, message);
+    environment_.network.send(
+        connection_, node_, [this, connection = connection_, member = member_, message] {
+            if (!member->up()) return;
+            member->when_running([this, connection, member, message] {
+                if (!connection->open) return;
+                if (!connection->acceptor_session) {
+                    const auto send = [this, connection, member](const nlohmann::json& pushed) {
+                        environment_.network.send(connection, member->node(), [this, connection, pushed] {
+                            if (connection_ == connection) feed(distribution::MessageReceived{pushed});
+                        });
+                    };
+                    const auto close = [this, connection, member] {
+                        environment_.network.close(connection, member->node());
+                    };
+                    const auto id = member->accept_scheduler(send, close);
+                    connection->acceptor_session = id;
+                    connection->closed_at_acceptor = [member, id] { member->on_scheduler_closed(id); };
+                }
+                member->on_scheduler_message(*connection->acceptor_session, message);
+            });
         });
-    });
 }
 
 void Scheduler::carry_out(const distribution::Pushed& pushed) {
     const nlohmann::json& message = pushed.message;
     if (message.at("type") != "state" && message.at("type") != "state-change") return;
     auto push = distribution::read_state_push(message, held_ ? &held_->position : nullptr, configuration());
-    if (!push) return world_.history.violation(name_ + " was sent what it cannot read");
+    if (!push) return environment_.history.violation(name_ + " was sent what it cannot read");
     if (std::holds_alternative<distribution::LacksBase>(push.value())) {
         lacks_.insert(distribution::lacks_state);
         return feed(distribution::LeaseChanged{});
     }
     auto* next = std::get_if<distribution::HeldState>(&push.value());
     if (next == nullptr) return;
-    if (next->configuration.version < version()) world_.history.violation(name_ + " went back");
+    if (next->configuration.version < version()) environment_.history.violation(name_ + " went back");
     held_ = std::move(*next);
-    world_.history.pushed(name_, held_->configuration);
+    environment_.history.pushed(name_, held_->configuration);
 }
 
 } // namespace willowrill::simulation
--- a/src/system/simulation/scheduler.h
+++ b/src/system/simulation/scheduler.h
@@ -14,7 +14,7 @@
 
 class Scheduler {
   public:
-    Scheduler(World& world, NodeId node, std::string name);
+    Scheduler(Environment& environment, NodeId node, std::string name);
 
     NodeId node() const { return node_; }
     const std::string& name() const { return name_; }
@@ -30,7 +30,7 @@
     void stop();
 
   private:
-    void tick(std::uint64_t life);
+    void tick(std::uint64_t incarnation);
     void feed(const distribution::SessionEvent& event);
     void carry_out(const distribution::Dial& dial);
     void carry_out(const distribution::Disconnect&);
@@ -38,7 +38,7 @@
     void carry_out(const distribution::Pushed& pushed);
     void on_connected(const ConnectionPtr& connection, Member& member);
 
-    World& world_;
+    Environment& environment_;
     NodeId node_;
     std::string name_;
     std::optional<distribution::CoreSession> session_;
@@ -46,7 +46,7 @@
     Member* member_ = nullptr; // at the other end
     distribution::SessionId session_id_ = 0;
     bool up_ = false;
-    std::uint64_t life_ = 0;
+    std::uint64_t incarnation_ = 0;
     Time started_at_{0};
     std::optional<distribution::HeldState> held_;
     std::set<std::string> lacks_;
--- a/tests/system/replication/checker_test.cpp
+++ b/tests/system/replication/checker_test.cpp
@@ -10,17 +10,12 @@
 
 namespace {
 
-std::string first_violation(const simulation::Plan& plan) {
-    const auto outcome = simulation::run(plan);
-    return outcome.violations.empty() ? "" : outcome.violations.front();
-}
-
-// How many of the first seeds break a promise.
-int broken(simulation::Plan plan, int seeds) {
+// With how many of the first seeds a promise is broken.
+int broken(simulation::Scenario scenario, int seeds) {
     int out = 0;
     for (int seed = 1; seed <= seeds; ++seed) {
-        plan.seed = static_cast<std::uint64_t>(seed);
-        out += first_violation(plan).empty() ? 0 : 1;
+        scenario.seed = static_cast<std::uint64_t>(seed);
+        out += simulation::run(scenario).violations.empty() ? 0 : 1;
     }
     return out;
 }
@@ -28,49 +23,49 @@
 } // namespace
 
 Test(checker, sees_registers_that_are_not_durable) {
-    simulation::Plan plan;
-    plan.break_forgets_registers = true;
-    cr_assert_gt(broken(plan, 10), 0);
+    simulation::Scenario scenario;
+    scenario.break_forgets_registers = true;
+    cr_assert_gt(broken(scenario, 10), 0);
 }
 
 Test(checker, sees_refused_saves_that_are_taken_for_done) {
-    simulation::Plan plan;
-    plan.break_hides_failures = true;
-    plan.fault_gap = Time(1200);
-    plan.herds = true;
-    cr_assert_gt(broken(plan, 60), 0);
+    simulation::Scenario scenario;
+    scenario.break_hides_failures = true;
+    scenario.fault_gap = Time(1200);
+    scenario.herds = true;
+    cr_assert_gt(broken(scenario, 60), 0);
 }
 
 Test(checker, sees_acknowledgements_before_all_copies_are_stored) {
-    simulation::Plan plan;
-    plan.break_answers_for_others = true;
-    cr_assert_gt(broken(plan, 40), 0);
+    simulation::Scenario scenario;
+    scenario.break_answers_for_others = true;
+    cr_assert_gt(broken(scenario, 40), 0);
 }
 
 Test(checker, sees_reads_that_are_not_confirmed) {
-    simulation::Plan plan;
-    plan.break_unconfirmed_reads = true;
-    cr_assert_gt(broken(plan, 120), 0);
+    simulation::Scenario scenario;
+    scenario.break_unconfirmed_reads = true;
+    cr_assert_gt(broken(scenario, 120), 0);
 }
 
 Test(checker, sees_orders_that_are_not_remembered) {
-    simulation::Plan plan;
-    plan.break_forgets_orders = true;
-    cr_assert_gt(broken(plan, 10), 0);
+    simulation::Scenario scenario;
+    scenario.break_forgets_orders = true;
+    cr_assert_gt(broken(scenario, 10), 0);
 }
 
 Test(checker, sees_members_that_call_an_old_state_current) {
-    simulation::Plan plan;
-    plan.break_always_current = true;
-    plan.longest_fault = Time(20000);
-    plan.length = Time(60000);
-    plan.fault_gap = Time(8000);
-    cr_assert_gt(broken(plan, 60), 0);
+    simulation::Scenario scenario;
+    scenario.break_always_current = true;
+    scenario.longest_fault = Time(20000);
+    scenario.length = Time(60000);
+    scenario.fault_gap = Time(8000);
+    cr_assert_gt(broken(scenario, 60), 0);
 }
 
-Test(checker, sees_a_member_that_wins_again_and_again_and_cannot_serve) {
-    simulation::Plan plan;
-    plan.fails_as_primary = true;
-    plan.break_no_turns = true;
-    cr_assert_gt(broken(plan, 20), 0);
+Test(checker, sees_a_winner_that_cannot_serve_and_does_not_back_off) {
+    simulation::Scenario scenario;
+    scenario.fails_as_primary = true;
+    scenario.break_no_election_backoff = true;
+    cr_assert_gt(broken(scenario, 20), 0);
 }
--- a/tests/system/replication/cluster_test.cpp
+++ b/tests/system/replication/cluster_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-void expect_kept(simulation::Plan plan, int from, int to) {
+void expect_kept(simulation::Scenario scenario, int from, int to) {
     std::size_t acknowledged = 0, faults = 0;
     for (int seed = from; seed < to; ++seed) {
-        plan.seed = static_cast<std::uint64_t>(seed);
-        const auto outcome = simulation::run(plan);
+        scenario.seed = static_cast<std::uint64_t>(seed);
+        const auto outcome = simulation::run(scenario);
         cr_assert(outcome.violations.empty(), "seed %d: %s", seed, outcome.violations.front().c_str());
         acknowledged += outcome.acknowledged;
         faults += outcome.faults;
@@ -29,53 +29,53 @@
 Test(cluster, three_members_keep_every_promise) { expect_kept({}, 1, 80); }
 
 Test(cluster, six_members_two_of_whom_may_be_lost) {
-    simulation::Plan plan;
-    plan.members = 6;
-    plan.tolerated = 2;
-    expect_kept(plan, 1, 30);
+    simulation::Scenario scenario;
+    scenario.members = 6;
+    scenario.tolerated = 2;
+    expect_kept(scenario, 1, 30);
 }
 
 Test(cluster, five_members_one_of_whom_may_be_lost) {
-    simulation::Plan plan;
-    plan.members = 5;
-    expect_kept(plan, 1, 20);
+    simulation::Scenario scenario;
+    scenario.members = 5;
+    expect_kept(scenario, 1, 20);
 }
 
 Test(cluster, faults_at_short_intervals) {
-    simulation::Plan plan;
-    plan.fault_gap = Time(700);
-    plan.length = Time(60000);
-    expect_kept(plan, 1, 40);
+    simulation::Scenario scenario;
+    scenario.fault_gap = Time(700);
+    scenario.length = Time(60000);
+    expect_kept(scenario, 1, 40);
 }
 
 Test(cluster, hundreds_of_orders_by_five_operators) {
-    simulation::Plan plan;
-    plan.operators.operators = 5;
-    plan.operators.shortest_pause = Time(20);
-    plan.operators.pause_spread = 100;
-    plan.operators.lost_answers = 0.5;
-    expect_kept(plan, 1, 30);
+    simulation::Scenario scenario;
+    scenario.operators.operators = 5;
+    scenario.operators.shortest_pause = Time(20);
+    scenario.operators.pause_spread = 100;
+    scenario.operators.lost_answers = 0.5;
+    expect_kept(scenario, 1, 30);
 }
 
 Test(cluster, long_cuts) {
-    simulation::Plan plan;
-    plan.longest_fault = Time(20000);
-    plan.length = Time(60000);
-    plan.fault_gap = Time(8000);
-    expect_kept(plan, 1, 30);
+    simulation::Scenario scenario;
+    scenario.longest_fault = Time(20000);
+    scenario.length = Time(60000);
+    scenario.fault_gap = Time(8000);
+    expect_kept(scenario, 1, 30);
 }
 
 // The first fault of this kind: who wins each election and cannot serve must not hold up the others.
 Test(cluster, a_member_that_fails_whenever_it_is_the_primary) {
-    simulation::Plan plan;
-    plan.fails_as_primary = true;
-    expect_kept(plan, 1, 40);
+    simulation::Scenario scenario;
+    scenario.fails_as_primary = true;
+    expect_kept(scenario, 1, 40);
 }
 
 Test(cluster, one_seed_replays_a_run) {
-    simulation::Plan plan;
-    plan.seed = 77;
-    const auto first = simulation::run(plan), again = simulation::run(plan);
+    simulation::Scenario scenario;
+    scenario.seed = 77;
+    const auto first = simulation::run(scenario), again = simulation::run(scenario);
     cr_assert_eq(first.acknowledged, again.acknowledged);
     cr_assert_eq(first.reads, again.reads);
     cr_assert_eq(first.epochs, again.epochs);
--- a/tests/system/replication/election_test.cpp
+++ b/tests/system/replication/election_test.cpp
@@ -9,7 +9,7 @@
 using namespace willowrill;
 using namespace willowrill::replication;
 
-Test(election, nobody_stands_without_reaching_a_quorum) {
+Test(election, none_starts_without_a_quorum_in_reach) {
     ReplicaDriver member(options("a:1", true));
     for (int at = 0; at < 20000; at += 50)
         cr_assert(sent<PrepareRequest>(member.step(at, Tick{})).empty());
@@ -20,7 +20,7 @@
     cr_assert(stood);
 }
 
-Test(election, nobody_stands_beside_a_primary_that_is_heard) {
+Test(election, none_starts_while_a_primary_is_heard) {
     ReplicaDriver member(options("b:1", true));
     member.step(0, PeerConnected{"a:1"});
     member.step(0, PeerConnected{"c:1"});
@@ -31,7 +31,7 @@
 }
 
 // A member that won and could not serve lets the others have their turn, for longer each time.
-Test(election, who_could_not_serve_waits_longer_each_time) {
+Test(election, a_winner_that_could_not_serve_backs_off_longer_each_time) {
     ReplicaDriver member = primary();
     int at = 1010;
     std::vector<int> waited;
--- a/tests/system/replication/primary_test.cpp
+++ b/tests/system/replication/primary_test.cpp
@@ -23,7 +23,7 @@
     cr_assert_eq(done<Committed>(member.release(1030)).size(), 1U);
 }
 
-Test(primary, a_refused_save_hands_over_and_leaves_the_order_undecided) {
+Test(primary, a_refused_save_transfers_leadership_and_leaves_the_outcome_unknown) {
     ReplicaDriver member = primary();
     answer_heartbeats(member, 1005, member.step(1300, Tick{}));
     member.mode = ReplicaDriver::DiskMode::refuses;
@@ -33,23 +33,23 @@
     cr_assert(member.replica.role() == Role::storage_failed);
 }
 
-Test(primary, a_stalled_disk_hands_over_too) {
+Test(primary, a_stalled_disk_transfers_leadership_too) {
     ReplicaDriver member = primary();
     member.mode = ReplicaDriver::DiskMode::holds;
     member.step(1010, propose(member, 1, "x"));
-    std::size_t yields = 0, undecided = 0;
+    std::size_t transfers = 0, unknown = 0;
     for (int at = 1050; at <= 2000 && member.replica.is_primary(); at += 50) {
         const auto actions = member.step(at, Tick{});
-        yields += sent<LeadershipTransfer>(actions).size();
-        undecided += done<OutcomeUnknown>(actions).size();
+        transfers += sent<LeadershipTransfer>(actions).size();
+        unknown += done<OutcomeUnknown>(actions).size();
         answer_heartbeats(member, at, actions);
     }
     cr_assert_not(member.replica.is_primary());
-    cr_assert_eq(yields, 1U);
-    cr_assert_eq(undecided, 1U);
+    cr_assert_eq(transfers, 1U);
+    cr_assert_eq(unknown, 1U);
 }
 
-Test(primary, what_a_broken_connection_swallowed_is_sent_again) {
+Test(primary, a_proposal_without_an_answer_is_sent_again) {
     ReplicaDriver member = primary();
     member.step(1010, propose(member, 1, "x"));
     std::size_t again = 0;
@@ -71,11 +71,11 @@
     cr_assert_eq(done<OutcomeUnknown>(member.step(3000, ConfirmLeadership{5})).size(), 1U);
 }
 
-Test(primary, a_question_that_finds_no_quorum_is_given_up_soon) {
+Test(primary, a_confirmation_without_a_quorum_times_out) {
     ReplicaDriver member = primary();
     cr_assert(done<OutcomeUnknown>(member.step(1010, ConfirmLeadership{5})).empty());
-    std::size_t given_up = 0;
+    std::size_t timed_out = 0;
     for (int at = 1050; at <= 1800; at += 50)
-        given_up += done<OutcomeUnknown>(member.step(at, Tick{})).size();
-    cr_assert_eq(given_up, 1U);
+        timed_out += done<OutcomeUnknown>(member.step(at, Tick{})).size();
+    cr_assert_eq(timed_out, 1U);
 }
--- a/tests/system/replication/recovery_test.cpp
+++ b/tests/system/replication/recovery_test.cpp
@@ -36,7 +36,7 @@
     cr_assert_not(member.witness_register()->complete, "its copy is gone and must not be taken for complete");
 }
 
-Test(recovery, a_member_that_recovers_itself_tells_nothing) {
+Test(recovery, a_member_that_recovers_itself_does_not_count) {
     ReplicaDriver member(options("b:1", false));
     member.step(0, PeerConnected{"a:1"});
     const auto asked = sent<RecoveryRequest>(member.step(1, Tick{}));
--- a/tests/system/replication/shutdown_test.cpp
+++ b/tests/system/replication/shutdown_test.cpp
@@ -11,7 +11,7 @@
 using namespace willowrill;
 using namespace willowrill::replication;
 
-Test(leaving, not_before_the_others_hold_the_copies) {
+Test(shutdown, waits_until_the_others_hold_the_copies) {
     ReplicaDriver member(options("b:1", true));
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {}, true, 0});
     member.step(1010, BeginShutdown{});
@@ -27,7 +27,7 @@
     cr_assert_not(member.replica.may_end(Time(9000)), "no primary is heard any more");
 }
 
-Test(leaving, a_leaver_is_left_out_of_the_in_sync_set_where_enough_stay) {
+Test(shutdown, the_member_leaves_the_in_sync_set_where_enough_stay) {
     ReplicaDriver member = primary();
     Epoch epoch = 0;
     for (int at = 1050; epoch == 0 && at < 5000; at += 50) {
@@ -42,7 +42,7 @@
             if (const auto* request = std::get_if<PrepareRequest>(&send->message)) epoch = request->epoch;
         }
     }
-    cr_assert_gt(epoch, 0U, "a leaver is a reason for a new epoch");
+    cr_assert_gt(epoch, 0U, "a member that shuts down is a reason for a new epoch");
     const EpochRecord known = member.replica.witness_register().decided;
     std::vector<Action> actions;
     for (const char* const from : {"b:1", "c:1"}) {
--- a/tests/system/replication/witness_test.cpp
+++ b/tests/system/replication/witness_test.cpp
@@ -9,7 +9,7 @@
 using namespace willowrill;
 using namespace willowrill::replication;
 
-Test(witness, a_promise_is_stored_before_it_is_given) {
+Test(witness, a_prepare_is_durable_before_it_is_granted) {
     ReplicaDriver member(options("b:1", true));
     const auto replies = sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false}));
     cr_assert_eq(replies.size(), 1U);
@@ -32,13 +32,13 @@
     cr_assert_not(sent<PrepareReply>(again.receive(0, "c:1", PrepareRequest{7, false}))[0].granted);
 }
 
-Test(witness, a_tentative_question_binds_nothing) {
+Test(witness, a_pre_vote_binds_nothing) {
     ReplicaDriver member(options("b:1", true));
     cr_assert(sent<PrepareReply>(member.receive(5000, "a:1", PrepareRequest{7, true}))[0].granted);
     cr_assert_eq(member.witness_register()->promised, 1U);
 }
 
-Test(witness, a_record_below_the_promise_is_not_stored) {
+Test(witness, a_record_below_the_promised_epoch_is_not_stored) {
     ReplicaDriver member(options("b:1", true));
     member.receive(0, "a:1", PrepareRequest{9, false});
     const auto reply = sent<AcceptReply>(member.receive(1, "c:1", AcceptRequest{record(8, "c:1")}))[0];
