--- a/src/system/storage/record_ring.cpp
+++ b/src/system/storage/record_ring.cpp
@@ -54,7 +54,7 @@
 
 // A copy's bytes as far as its own header says they go.
 std::optional<std::string> RecordRing::read_copy(const File& file, std::size_t offset) const {
-    const auto header = file.read(offset, header_size);
+    auto header = file.read(offset, header_size);
     if (!header) return std::nullopt;
     const std::size_t length = announced_length(*header);
     if (length == 0 || length > record_capacity_) return header;
