--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -3,7 +3,7 @@
 #include "common/identity/random_identity.h"
 
 #include "system/control/directory.h"
-#include "system/replication/codec.h"
+#include "system/messages/codec.h"
 
 #include <fmt/format.h>
 
@@ -55,7 +55,7 @@
       self_(settings::to_text(settings_.control)),
       node_(loop, settings_,
             {[this](const MemberId& to, const replication::Message& message) {
-                 mesh_.send(to, {{"type", "replication"}, {"message", replication::encode(message)}});
+                 mesh_.send(to, messages::ReplicationEnvelope{message});
              },
              [this](const replication::Position& position, const configuration::ControlState& state) {
                  on_state(position, state);
@@ -63,12 +63,13 @@
              [this] { assign_lists(); }}), // schedulers that start wait for the list
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
       hub_(hub_callbacks()),
-      leases_(identity::random_identity(),
-              {[this](const json& message) { mesh_.broadcast(message); },
-               [this](const MemberId& to, const json& message) { mesh_.send(to, message); },
-               [this](const std::vector<membership::Lease>& leases) { hub_.publish_members(leases); }}),
+      leases_(
+          identity::random_identity(),
+          {[this](const messages::LeasesMessage& message) { mesh_.broadcast(message); },
+           [this](const MemberId& to, const messages::LeasesMessage& message) { mesh_.send(to, message); },
+           [this](const std::vector<membership::Lease>& leases) { hub_.publish_members(leases); }}),
       lists_(loop, settings_, metrics_,
-             {[this](const json& message) { mesh_.broadcast(message); },
+             {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
               [this](const discovery::ZoneList& list) { hub_.publish_zone(list); }}),
       timer_(loop),
       listener_(loop, settings_.address, settings_.first_internal_port,
@@ -139,11 +140,11 @@
     return out;
 }
 
-std::vector<distribution::CoreMember> ControlPlane::reached_places() const {
-    std::vector<distribution::CoreMember> out;
+std::vector<messages::CoreMember> ControlPlane::reached_places() const {
+    std::vector<messages::CoreMember> out;
     for (const MemberId& id : reached()) {
         const auto place = places_.find(id);
-        out.push_back(place == places_.end() ? distribution::CoreMember{id, "", ""} : place->second);
+        out.push_back(place == places_.end() ? messages::CoreMember{id, "", ""} : place->second);
     }
     return out;
 }
@@ -181,7 +182,7 @@
         mesh_.maintain();
     }
     if (ticks_ % ticks_between_gossip == 0) {
-        leases_.tell();
+        leases_.publish();
         tell_core();
     }
     if (ticks_ % ticks_between_assignments == 0) assign_lists();
@@ -197,7 +198,7 @@
     auto connected = mesh_.connected();
     const bool due = ticks_ % (ticks_between_gossip * gossips_between_cores) == 0;
     if (connected == told_core_ && !due) return;
-    mesh_.broadcast({{"type", "core"}, {"members", connected}});
+    mesh_.broadcast(messages::CorePeers{connected});
     told_core_ = std::move(connected);
 }
 
@@ -238,16 +239,15 @@
                              session](const json& message) {
         const auto self = connection.lock();
         if (!self) return;
-        if (*session) return hub_.on_message(**session, message);
-        if (*member) return on_core_message(**member, message);
+        if (*session) return hub_.on_message(**session, messages::decode_scheduler_message(message));
+        if (*member) return on_core_message(**member, messages::decode_core_message(message));
         unnamed_.erase(self);
-        if (message.at("type") != "hello" || message.at("version") != transport::protocol_version)
-            return self->close();
-        if (message.at("kind") == "core") {
-            const auto who = message.at("member").get<distribution::CoreMember>();
-            if (!mesh_.know(who.id)) return self->close();
-            places_[who.id] = who; // bounded, as the mesh is
-            *member = who.id;
+        const auto hello = messages::decode_hello(message);
+        if (!hello) return self->close();
+        if (const auto* core = std::get_if<messages::CoreHello>(&*hello)) {
+            if (!mesh_.know(core->member.id)) return self->close();
+            places_[core->member.id] = core->member; // bounded, as the mesh is
+            *member = core->member.id;
         } else {
             *session = ++last_session_;
             adopt_scheduler(self, **session);
@@ -271,20 +271,31 @@
 void ControlPlane::on_peer_connected(const MemberId& member) {
     node_.feed(replication::PeerConnected{member});
     leases_.on_connected(member);
-    for (const json& message : lists_.messages())
-        mesh_.send(member, message);
+    for (const messages::ZoneListUpdate& update : lists_.zone_list_updates())
+        mesh_.send(member, messages::EndpointListMessage{update});
 }
 
-void ControlPlane::on_core_message(const MemberId& from, const json& message) {
-    const auto type = message.at("type").get<std::string>();
-    if (type == "replication")
-        return node_.feed(replication::Received{from, replication::decode_message(message.at("message"))});
-    if (type == "zone" || type == "zone-unchanged" || type == "assign")
-        return lists_.on_message(type, message);
-    if (type.starts_with("leases")) return leases_.on_message(steady_now(), from, message);
-    if (type != "core") return;
-    for (const json& id : message.at("members"))
-        mesh_.know(id.get<MemberId>());
+void ControlPlane::on_core_message(const MemberId& from, const messages::CoreMessage& message) {
+    std::visit([&](const auto& one) { on(from, one); }, message);
+}
+
+void ControlPlane::on(const MemberId& /*from*/, const messages::UnknownMessage&) const {}
+
+void ControlPlane::on(const MemberId& from, const messages::ReplicationEnvelope& envelope) {
+    node_.feed(replication::Received{from, envelope.message});
+}
+
+void ControlPlane::on(const MemberId& /*from*/, const messages::CorePeers& peers) {
+    for (const MemberId& id : peers.members)
+        mesh_.know(id);
+}
+
+void ControlPlane::on(const MemberId& from, const messages::LeasesMessage& message) {
+    leases_.on_message(steady_now(), from, message);
+}
+
+void ControlPlane::on(const MemberId& /*from*/, const messages::EndpointListMessage& message) {
+    lists_.on_message(message);
 }
 
 // ---- The directory ---------------------------------------------------------------------------------------
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -41,10 +41,15 @@
     void end_if_possible();
     void know_members();
     std::vector<MemberId> reached() const;
-    std::vector<distribution::CoreMember> reached_places() const;
+    std::vector<messages::CoreMember> reached_places() const;
     void accept(const transport::FrameConnectionPtr& connection);
     void adopt_scheduler(const transport::FrameConnectionPtr& connection, distribution::SessionId id);
-    void on_core_message(const MemberId& from, const nlohmann::json& message);
+    void on_core_message(const MemberId& from, const messages::CoreMessage& message);
+    void on(const MemberId& from, const messages::UnknownMessage&) const;
+    void on(const MemberId& from, const messages::ReplicationEnvelope& envelope);
+    void on(const MemberId& from, const messages::CorePeers& peers);
+    void on(const MemberId& from, const messages::LeasesMessage& message);
+    void on(const MemberId& from, const messages::EndpointListMessage& message);
     void on_peer_connected(const MemberId& member);
     void on_state(const replication::Position& position, const configuration::ControlState& state);
     void on_directory(const http_server::Request& request, const http_server::Respond& respond) const;
@@ -62,7 +67,7 @@
     CoreNode node_;
     CoreMesh mesh_;
     distribution::SchedulerHub hub_;
-    std::map<MemberId, distribution::CoreMember> places_; // as members said of themselves
+    std::map<MemberId, messages::CoreMember> places_; // as members said of themselves
     std::map<distribution::SessionId, transport::FrameConnectionPtr> schedulers_;
     distribution::SessionId last_session_ = 0;
     LeaseGossip leases_;
--- a/src/system/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -1,5 +1,6 @@
 #include "system/control/core_mesh.h"
 
+#include "system/messages/codec.h"
 #include "system/settings/settings.h"
 
 #include <utility>
@@ -12,14 +13,14 @@
 
 } // namespace
 
-CoreMesh::CoreMesh(asio::io_context& loop, distribution::CoreMember self, std::uint16_t internal_port,
+CoreMesh::CoreMesh(asio::io_context& loop, messages::CoreMember self, std::uint16_t internal_port,
                    Callbacks callbacks)
     : loop_(loop), self_(std::move(self)), internal_port_(internal_port), callbacks_(std::move(callbacks)) {}
 
 bool CoreMesh::know(const MemberId& member) {
     if (member == self_.id) return false;
     if (links_.contains(member)) return true;
-    if (links_.size() >= most_core_members || !settings::parse_endpoint(member)) return false;
+    if (links_.size() >= messages::max_core_members || !settings::parse_endpoint(member)) return false;
     links_[member] = {};
     dial(member);
     return true;
@@ -45,24 +46,22 @@
                                               links_[member].connection = nullptr;
                                               callbacks_.lost(member);
                                           });
-                        connection->send({{"type", "hello"},
-                                          {"version", transport::protocol_version},
-                                          {"kind", "core"},
-                                          {"member", self_}});
+                        connection->send(messages::encode(messages::CoreHello{self_}));
                         callbacks_.connected(member);
                     });
 }
 
-void CoreMesh::send(const MemberId& to, const nlohmann::json& message) {
+void CoreMesh::send(const MemberId& to, const messages::CoreMessage& message) {
     const auto link = links_.find(to);
-    if (link != links_.end() && link->second.connection) link->second.connection->send(message);
+    if (link != links_.end() && link->second.connection)
+        link->second.connection->send(messages::encode(message));
 }
 
-void CoreMesh::broadcast(const nlohmann::json& message) {
+void CoreMesh::broadcast(const messages::CoreMessage& message) {
     transport::Frame frame;
     for (const auto& [member, link] : links_) {
         if (!link.connection) continue;
-        if (!frame) frame = transport::frame_of(message);
+        if (!frame) frame = messages::frame_of(message);
         link.connection->send_frame(frame);
     }
 }
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -2,7 +2,7 @@
 // connection that it dialled; what it accepted it only reads. One thread.
 #pragma once
 
-#include "system/distribution/push_messages.h"
+#include "system/messages/messages.h"
 #include "system/transport/frame_connection.h"
 
 #include <functional>
@@ -15,8 +15,6 @@
 
 using MemberId = std::string; // control endpoint
 
-inline constexpr std::size_t most_core_members = 64;
-
 class CoreMesh {
   public:
     struct Callbacks {
@@ -28,15 +26,15 @@
 
     // `internal_port`: where core members listen for each other, alike on all machines.
     // `self`: told to the members that it dials.
-    CoreMesh(asio::io_context& loop, distribution::CoreMember self, std::uint16_t internal_port,
+    CoreMesh(asio::io_context& loop, messages::CoreMember self, std::uint16_t internal_port,
              Callbacks callbacks);
 
     // Keeps trying to reach this member from now on. False where it is no member's id, or there are too many.
     bool know(const MemberId& member);
     // Dials whom it is not connected to; called now and then.
     void maintain();
-    void send(const MemberId& to, const nlohmann::json& message);
-    void broadcast(const nlohmann::json& message);
+    void send(const MemberId& to, const messages::CoreMessage& message);
+    void broadcast(const messages::CoreMessage& message);
     std::vector<MemberId> connected() const;
 
   private:
@@ -47,7 +45,7 @@
     void dial(const MemberId& member);
 
     asio::io_context& loop_;
-    distribution::CoreMember self_;
+    messages::CoreMember self_;
     std::uint16_t internal_port_;
     Callbacks callbacks_;
     std::map<MemberId, Link> links_;
--- a/src/system/control/lease_gossip.cpp
+++ b/src/system/control/lease_gossip.cpp
@@ -1,137 +1,148 @@
 #include "system/control/lease_gossip.h"
 
-#include "system/membership/codec.h"
-
 #include <utility>
 
 namespace willowrill::control {
 namespace {
 
 using membership::Lease;
-using nlohmann::json;
 
 constexpr membership::Time lease_duration{2200};
 
 } // namespace
 
-LeaseGossip::LeaseGossip(std::uint64_t life, Callbacks callbacks)
-    : life_(life), callbacks_(std::move(callbacks)), leases_(lease_duration) {}
+LeaseGossip::LeaseGossip(std::uint64_t incarnation, Callbacks callbacks)
+    : callbacks_(std::move(callbacks)), leases_(lease_duration), version_{incarnation, 0} {}
 
 // ---- Leases renewed here ---------------------------------------------------------------------------------
 
-json LeaseGossip::message(const char* type) const {
-    return {{"type", type}, {"life", life_}, {"number", number_}};
-}
-
-json LeaseGossip::whole_message() const {
-    json out = message("leases");
-    out["leases"] = json::array();
+messages::LeasesSnapshot LeaseGossip::snapshot() const {
+    messages::LeasesSnapshot out{version_, {}};
     for (const auto& [node, lease] : renewed_here_)
-        out["leases"].push_back(lease);
+        out.leases.push_back(lease);
     return out;
 }
 
-void LeaseGossip::send_change(const std::vector<Lease>& set, const std::vector<std::string>& gone) {
-    ++number_;
-    json out = message("leases-change");
-    out["leases"] = set;
-    out["gone"] = gone;
-    callbacks_.broadcast(out);
+void LeaseGossip::publish_delta(const std::vector<Lease>& changed, const std::vector<std::string>& removed) {
+    ++version_.number;
+    callbacks_.broadcast(messages::LeasesDelta{version_, changed, removed});
 }
 
 void LeaseGossip::on_renewed(membership::Time now, const Lease& lease) {
     const bool view_changed = leases_.renew(now, lease, membership::Source::holder);
-    const auto held = renewed_here_.find(lease.node);
-    if (held == renewed_here_.end() && renewed_here_.size() >= membership::most_leases) return;
-    Lease before = held == renewed_here_.end() ? Lease{} : held->second;
+    const auto found = renewed_here_.find(lease.node);
+    if (found == renewed_here_.end() && renewed_here_.size() >= membership::most_leases) return;
+    Lease before = found == renewed_here_.end() ? Lease{} : found->second;
     before.renewal = lease.renewal;
     const bool list_changed = before != lease;
     renewed_here_[lease.node] = lease;
-    renewed_since_told_.insert(lease.node);
-    gone_since_told_.erase(lease.node);
-    if (list_changed) send_change({lease}, {});
+    renewed_since_publish_.insert(lease.node);
+    removed_since_publish_.erase(lease.node);
+    if (list_changed) publish_delta({lease}, {});
     if (view_changed) on_changed();
 }
 
-// The lease itself lapses: its holder may have moved on to another member and renewed there.
+// The holder may have gone to another core member and renewed there: only time ends its lease.
 void LeaseGossip::on_disconnected(const Lease& lease) {
-    const auto held = renewed_here_.find(lease.node);
-    if (held == renewed_here_.end() || held->second.incarnation != lease.incarnation) return;
-    renewed_here_.erase(held);
-    renewed_since_told_.erase(lease.node);
-    gone_since_told_.insert(lease.node);
+    const auto found = renewed_here_.find(lease.node);
+    if (found == renewed_here_.end() || found->second.incarnation != lease.incarnation) return;
+    renewed_here_.erase(found);
+    renewed_since_publish_.erase(lease.node);
+    removed_since_publish_.insert(lease.node);
 }
 
-void LeaseGossip::tell() {
-    if (!gone_since_told_.empty()) send_change({}, {gone_since_told_.begin(), gone_since_told_.end()});
-    gone_since_told_.clear();
-    json silent = json::array();
+void LeaseGossip::publish() {
+    if (!removed_since_publish_.empty())
+        publish_delta({}, {removed_since_publish_.begin(), removed_since_publish_.end()});
+    removed_since_publish_.clear();
+    messages::LeasesKeepAlive keep_alive{version_, {}};
     for (const auto& [node, lease] : renewed_here_)
-        if (!renewed_since_told_.contains(node)) silent.push_back(node);
-    renewed_since_told_.clear();
-    json out = message("leases-alive");
-    if (!silent.empty()) out["silent"] = std::move(silent);
-    callbacks_.broadcast(out);
-}
-
-void LeaseGossip::on_connected(const std::string& member) const { callbacks_.send(member, whole_message()); }
-
-// ---- Leases renewed elsewhere ----------------------------------------------------------------------------
-
-void LeaseGossip::on_message(membership::Time now, const std::string& from, const json& message) {
-    const auto type = message.at("type").get<std::string>();
-    if (type == "leases-wanted") return callbacks_.send(from, whole_message());
-    Told& told = told_[from];
-    const auto life = message.at("life").get<std::uint64_t>();
-    const auto number = message.at("number").get<std::uint64_t>();
-    const bool follows = told.life == life && told.number + 1 == number;
-    const bool same = told.life == life && told.number == number;
-    if (type == "leases-alive" && same && take_proof_of_life(now, told, message)) return;
-    const bool whole = type == "leases";
-    if (!whole && !(type == "leases-change" && follows)) {
-        const bool is_behind = told.life != life || told.number <= number; // else it is old news
-        if (is_behind) callbacks_.send(from, {{"type", "leases-wanted"}});
-        return;
-    }
-    const bool changed = whole ? take_whole(now, told, message) : take_change(now, told, message);
-    told.life = life;
-    told.number = number;
+        if (!renewed_since_publish_.contains(node)) keep_alive.silent.insert(node);
+    renewed_since_publish_.clear();
+    callbacks_.broadcast(keep_alive);
+}
+
+void LeaseGossip::on_connected(const std::string& member) const { callbacks_.send(member, snapshot()); }
+
+void LeaseGossip::expire(membership::Time now) {
+    if (leases_.expire(now)) on_changed();
+}
+
+// ---- Leases renewed at other members ---------------------------------------------------------------------
+
+void LeaseGossip::on_message(membership::Time now, const std::string& from,
+                             const messages::LeasesMessage& message) {
+    std::visit([&](const auto& one) { on(now, from, one); }, message);
+}
+
+void LeaseGossip::on(membership::Time now, const std::string& from,
+                     const messages::LeasesSnapshot& snapshot) {
+    PeerLeases& peer = peers_[from];
+    const bool changed = apply_snapshot(now, peer, snapshot);
+    peer.version = snapshot.version;
     if (changed) on_changed();
 }
 
-bool LeaseGossip::take_leases(membership::Time now, Told& told, const json& leases) {
+void LeaseGossip::on(membership::Time now, const std::string& from, const messages::LeasesDelta& delta) {
+    PeerLeases& peer = peers_[from];
+    const messages::LeaseListVersion next{peer.version.incarnation, peer.version.number + 1};
+    if (delta.version != next) return request_snapshot(from, delta.version);
+    const bool changed = apply_delta(now, peer, delta);
+    peer.version = delta.version;
+    if (changed) on_changed();
+}
+
+void LeaseGossip::on(membership::Time now, const std::string& from,
+                     const messages::LeasesKeepAlive& keep_alive) {
+    const PeerLeases& peer = peers_[from];
+    if (keep_alive.version == peer.version && apply_keep_alive(now, peer, keep_alive)) return;
+    request_snapshot(from, keep_alive.version);
+}
+
+void LeaseGossip::on(membership::Time /*now*/, const std::string& from,
+                     const messages::LeasesSnapshotRequest&) {
+    callbacks_.send(from, snapshot());
+}
+
+void LeaseGossip::on(membership::Time /*now*/, const std::string& from,
+                     const messages::UnknownLeasesUpdate& update) {
+    request_snapshot(from, update.version);
+}
+
+void LeaseGossip::request_snapshot(const std::string& from, const messages::LeaseListVersion& version) {
+    const messages::LeaseListVersion& received = peers_[from].version;
+    const bool outdated = version.incarnation == received.incarnation && version.number < received.number;
+    if (!outdated) callbacks_.send(from, messages::LeasesSnapshotRequest{});
+}
+
+bool LeaseGossip::renew_all(membership::Time now, PeerLeases& peer, const std::vector<Lease>& leases) {
     bool changed = false;
-    for (const json& one : leases) {
-        const auto lease = one.get<Lease>();
+    for (const Lease& lease : leases) {
         changed |= leases_.renew(now, lease, membership::Source::core_member);
-        if (told.incarnations.contains(lease.node) || told.incarnations.size() < membership::most_leases)
-            told.incarnations[lease.node] = lease.incarnation;
+        if (peer.incarnations.contains(lease.node) || peer.incarnations.size() < membership::most_leases)
+            peer.incarnations[lease.node] = lease.incarnation;
     }
     return changed;
 }
 
-bool LeaseGossip::take_whole(membership::Time now, Told& told, const json& message) {
-    told.incarnations.clear();
-    return take_leases(now, told, message.at("leases"));
+bool LeaseGossip::apply_snapshot(membership::Time now, PeerLeases& peer,
+                                 const messages::LeasesSnapshot& snapshot) {
+    peer.incarnations.clear();
+    return renew_all(now, peer, snapshot.leases);
 }
 
-bool LeaseGossip::take_change(membership::Time now, Told& told, const json& message) {
-    for (const json& node : message.at("gone"))
-        told.incarnations.erase(node.get<std::string>());
-    return take_leases(now, told, message.at("leases"));
+bool LeaseGossip::apply_delta(membership::Time now, PeerLeases& peer, const messages::LeasesDelta& delta) {
+    for (const std::string& node : delta.removed)
+        peer.incarnations.erase(node);
+    return renew_all(now, peer, delta.changed);
 }
 
-bool LeaseGossip::take_proof_of_life(membership::Time now, const Told& told, const json& message) {
-    std::set<std::string> silent;
-    if (message.contains("silent")) silent = message.at("silent").get<std::set<std::string>>();
+bool LeaseGossip::apply_keep_alive(membership::Time now, const PeerLeases& peer,
+                                   const messages::LeasesKeepAlive& keep_alive) {
     bool all_known = true;
-    for (const auto& [node, incarnation] : told.incarnations)
-        if (!silent.contains(node)) all_known &= leases_.extend(now, node, incarnation);
+    for (const auto& [node, incarnation] : peer.incarnations)
+        if (!keep_alive.silent.contains(node)) all_known &= leases_.extend(now, node, incarnation);
     return all_known;
 }
 
-void LeaseGossip::expire(membership::Time now) {
-    if (leases_.expire(now)) on_changed();
-}
-
 } // namespace willowrill::control
--- a/src/system/control/lease_gossip.h
+++ b/src/system/control/lease_gossip.h
@@ -1,12 +1,17 @@
-// The schedulers' leases as this core member knows them: those renewed here, and those that other members
-// tell of. What is renewed here is told as changes of a numbered list; between changes a proof of life that
-// names the number stands for a renewal of every lease in it. A member that lacks the number asks for the
-// whole list. Pure; one thread.
+// The schedulers' leases as this core member knows them: those renewed here, and those renewed at other core
+// members. Pure; one thread.
+//
+// Each member publishes the list of the leases renewed at it. A list has a version: the member's incarnation
+// and a number. At a change the member sends a delta, which raises the number by one; in between, a
+// keep-alive that names the version renews every lease of the list at once, apart from those it names as
+// silent. A receiver whose version differs, or that has let one of the leases lapse, requests a snapshot.
+//
+// Safe to lose or repeat messages: a delta is applied to its own base only, and a lease that nobody renews
+// lapses.
 #pragma once
 
 #include "system/membership/lease_table.h"
-
-#include <nlohmann/json.hpp>
+#include "system/messages/messages.h"
 
 #include <cstdint>
 #include <functional>
@@ -20,52 +25,63 @@
 class LeaseGossip {
   public:
     struct Callbacks {
-        std::function<void(const nlohmann::json&)> broadcast;                // to all other core members
-        std::function<void(const std::string&, const nlohmann::json&)> send; // to one of them
-        std::function<void(const std::vector<membership::Lease>&)> changed;
+        std::function<void(const messages::LeasesMessage&)> broadcast; // to all other core members
+        std::function<void(const std::string&, const messages::LeasesMessage&)> send; // to one of them
+        std::function<void(const std::vector<membership::Lease>&)> changed;           // the leases known
     };
-    // `life`: drawn anew at each start of the process.
-    LeaseGossip(std::uint64_t life, Callbacks callbacks);
+    // `incarnation`: drawn anew at each start of the process.
+    LeaseGossip(std::uint64_t incarnation, Callbacks callbacks);
 
+    // A scheduler has renewed its lease here.
     void on_renewed(membership::Time now, const membership::Lease& lease);
-    // The connection on which it was renewed here has broken.
+    // The connection on which the lease was renewed here has broken. The lease itself lapses by time.
     void on_disconnected(const membership::Lease& lease);
-    // A message of another member: "leases", "leases-change", "leases-alive" or "leases-wanted". Throws
-    // nlohmann::json::exception on one of the wrong shape.
-    void on_message(membership::Time now, const std::string& from, const nlohmann::json& message);
-    // A member that has just been connected to.
+    // A message of the core member `from`.
+    void on_message(membership::Time now, const std::string& from, const messages::LeasesMessage& message);
+    // This member has just connected to another.
     void on_connected(const std::string& member) const;
+    // Ends the leases that were not renewed in time.
     void expire(membership::Time now);
-    // Tells the others what has changed, and that the rest is alive.
-    void tell();
+    // Sends the others what was removed, and a keep-alive. Called a few times within a lease's duration.
+    void publish();
 
     std::vector<membership::Lease> leases() const { return leases_.leases(); }
 
   private:
-    // What another member has told of the leases renewed there.
-    struct Told {
-        std::uint64_t life = 0;
-        std::uint64_t number = 0;
-        std::map<std::string, std::uint64_t> incarnations; // by node, at most `most_leases`
+    // The list of another core member, as far as it has been received.
+    struct PeerLeases {
+        messages::LeaseListVersion version;
+        std::map<std::string, std::uint64_t> incarnations; // by node; bounded as lease tables are
     };
-    bool take_whole(membership::Time now, Told& told, const nlohmann::json& message);
-    bool take_change(membership::Time now, Told& told, const nlohmann::json& message);
-    bool take_leases(membership::Time now, Told& told, const nlohmann::json& leases);
-    // False where a lease that it vouches for has lapsed here.
-    bool take_proof_of_life(membership::Time now, const Told& told, const nlohmann::json& message);
-    nlohmann::json message(const char* type) const;
-    nlohmann::json whole_message() const;
-    void send_change(const std::vector<membership::Lease>& set, const std::vector<std::string>& gone);
+
+    void on(membership::Time now, const std::string& from, const messages::LeasesSnapshot& snapshot);
+    void on(membership::Time now, const std::string& from, const messages::LeasesDelta& delta);
+    void on(membership::Time now, const std::string& from, const messages::LeasesKeepAlive& keep_alive);
+    void on(membership::Time now, const std::string& from, const messages::LeasesSnapshotRequest&);
+    void on(membership::Time now, const std::string& from, const messages::UnknownLeasesUpdate& update);
+
+    // These return whether the view of all leases has changed.
+    bool apply_snapshot(membership::Time now, PeerLeases& peer, const messages::LeasesSnapshot& snapshot);
+    bool apply_delta(membership::Time now, PeerLeases& peer, const messages::LeasesDelta& delta);
+    bool renew_all(membership::Time now, PeerLeases& peer, const std::vector<membership::Lease>& leases);
+    // False where a lease that it renews has lapsed here.
+    bool apply_keep_alive(membership::Time now, const PeerLeases& peer,
+                          const messages::LeasesKeepAlive& keep_alive);
+    // Requests a snapshot unless the version is older than what was received already.
+    void request_snapshot(const std::string& from, const messages::LeaseListVersion& version);
+
+    messages::LeasesSnapshot snapshot() const;
+    void publish_delta(const std::vector<membership::Lease>& changed,
+                       const std::vector<std::string>& removed);
     void on_changed() const { callbacks_.changed(leases_.leases()); }
 
-    std::uint64_t life_;
     Callbacks callbacks_;
     membership::LeaseTable leases_;
-    std::map<std::string, membership::Lease> renewed_here_; // by node, at most `most_leases`
-    std::set<std::string> renewed_since_told_;              // nodes among them
-    std::set<std::string> gone_since_told_;                 // nodes that were among them
-    std::uint64_t number_ = 0;                              // of the list last told
-    std::map<std::string, Told> told_;                      // by core member; bounded, as the mesh is
+    std::map<std::string, membership::Lease> renewed_here_; // by node; bounded as lease tables are
+    std::set<std::string> renewed_since_publish_;           // nodes among them
+    std::set<std::string> removed_since_publish_;           // nodes that were among them
+    messages::LeaseListVersion version_;                    // of the list published last
+    std::map<std::string, PeerLeases> peers_;               // by core member; bounded as the mesh is
 };
 
 } // namespace willowrill::control
--- a/src/system/control/list_owners.cpp
+++ b/src/system/control/list_owners.cpp
@@ -1,6 +1,5 @@
 #include "system/control/list_owners.h"
 
-#include "system/discovery/codec.h"
 #include "system/transport/process.h"
 
 #include <utility>
@@ -8,8 +7,6 @@
 namespace willowrill::control {
 namespace {
 
-using nlohmann::json;
-
 constexpr std::chrono::milliseconds owner_patience{1600};
 constexpr std::chrono::milliseconds retell_period{800};
 
@@ -29,29 +26,25 @@
         assigner_.emplace(epoch, owner_patience);
         assigner_epoch_ = epoch;
     }
-    json list = json::array();
-    for (const ownership::Assignment& one : assigner_->assign(zones_, live, steady_now()))
-        list.push_back({{"zone", one.key}, {"owner", one.owner}, {"token", one.token}});
-    const json message{{"type", "assign"}, {"assignments", std::move(list)}};
-    callbacks_.broadcast(message);
-    take_assignments(message);
+    const messages::RoleAssignments roles{assigner_->assign(zones_, live, steady_now())};
+    callbacks_.broadcast(roles);
+    on(roles);
+}
+
+void ListOwners::on_message(const messages::EndpointListMessage& message) {
+    std::visit([this](const auto& one) { on(one); }, message);
 }
 
-void ListOwners::on_message(const std::string& type, const json& message) {
-    if (type == "assign") return take_assignments(message);
-    if (type == "zone") return take_list(message.at("list").get<discovery::ZoneList>());
-    const auto token = message.at("token").get<discovery::FencingToken>();
-    if (assigner_) assigner_->seen(message.at("zone").get<std::string>(), token, steady_now());
+void ListOwners::on(const messages::ZoneListUnchanged& unchanged) {
+    if (assigner_) assigner_->seen(unchanged.zone, unchanged.token, steady_now());
 }
 
-void ListOwners::take_assignments(const json& message) {
-    for (const json& one : message.at("assignments")) {
-        const auto zone = one.at("zone").get<std::string>();
-        const auto token = one.at("token").get<discovery::FencingToken>();
-        if (one.at("owner") == self_)
-            reader_.own(zone, token);
+void ListOwners::on(const messages::RoleAssignments& roles) {
+    for (const ownership::Assignment& role : roles.assignments) {
+        if (role.owner == self_)
+            reader_.own(role.key, role.token);
         else
-            reader_.yield(zone, token);
+            reader_.yield(role.key, role.token);
     }
     reader_.tick(Clock::now());
 }
@@ -63,9 +56,9 @@
     take_list(list);
     const Clock::time_point now = Clock::now();
     if (same && now - told_[list.zone] < 4 * retell_period)
-        return callbacks_.broadcast({{"type", "zone-unchanged"}, {"zone", list.zone}, {"token", list.token}});
+        return callbacks_.broadcast(messages::ZoneListUnchanged{list.zone, list.token});
     told_[list.zone] = now;
-    callbacks_.broadcast({{"type", "zone"}, {"list", list}});
+    callbacks_.broadcast(messages::ZoneListUpdate{list});
 }
 
 void ListOwners::take_list(const discovery::ZoneList& list) {
@@ -80,10 +73,10 @@
     callbacks_.changed(list);
 }
 
-std::vector<json> ListOwners::messages() const {
-    std::vector<json> out;
+std::vector<messages::ZoneListUpdate> ListOwners::zone_list_updates() const {
+    std::vector<messages::ZoneListUpdate> out;
     for (const auto& [zone, list] : catalogue_.zones())
-        out.push_back({{"type", "zone"}, {"list", list}});
+        out.push_back({list});
     return out;
 }
 
--- a/src/system/control/list_owners.h
+++ b/src/system/control/list_owners.h
@@ -4,10 +4,9 @@
 
 #include "system/control/platform_reader.h"
 #include "system/discovery/instances.h"
+#include "system/messages/messages.h"
 #include "system/ownership/ownership.h"
 
-#include <nlohmann/json.hpp>
-
 #include <functional>
 #include <map>
 #include <optional>
@@ -19,7 +18,7 @@
 class ListOwners {
   public:
     struct Callbacks {
-        std::function<void(const nlohmann::json&)> broadcast; // to all other core members
+        std::function<void(const messages::EndpointListMessage&)> broadcast; // to all other core members
         std::function<void(const discovery::ZoneList&)> changed;
     };
     ListOwners(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
@@ -30,11 +29,10 @@
     void assign(std::uint64_t epoch, const std::vector<std::string>& live);
     // Another member is the primary.
     void stop_assigning() { assigner_.reset(); }
-    // A message of another member: "assign", "zone" or "zone-unchanged". Throws nlohmann::json::exception on
-    // one of the wrong shape.
-    void on_message(const std::string& type, const nlohmann::json& message);
-    // All lists, as messages for a member that has just come.
-    std::vector<nlohmann::json> messages() const;
+    // A message of another member.
+    void on_message(const messages::EndpointListMessage& message);
+    // All lists, for a member that has just connected.
+    std::vector<messages::ZoneListUpdate> zone_list_updates() const;
 
   private:
     using Clock = std::chrono::steady_clock;
@@ -42,7 +40,9 @@
         std::vector<discovery::Instance> instances;
         Clock::time_point at;
     };
-    void take_assignments(const nlohmann::json& message);
+    void on(const messages::RoleAssignments& roles);
+    void on(const messages::ZoneListUpdate& update) { take_list(update.list); }
+    void on(const messages::ZoneListUnchanged& unchanged);
     void on_own_list(const discovery::ZoneList& list);
     void take_list(const discovery::ZoneList& list);
 
--- a/src/system/data/core_connection.cpp
+++ b/src/system/data/core_connection.cpp
@@ -1,6 +1,6 @@
 #include "system/data/core_connection.h"
 
-#include "system/distribution/push_messages.h"
+#include "system/messages/codec.h"
 #include "system/transport/process.h"
 
 #include <utility>
@@ -52,13 +52,16 @@
 void CoreConnection::on_connected(const transport::FrameConnectionPtr& connection) {
     connection_ = connection;
     callbacks_.session_began();
-    connection->start([this](const nlohmann::json& message) { feed(distribution::MessageReceived{message}); },
-                      [this, raw = connection.get()] {
-                          if (connection_.get() != raw) return; // it was left before
-                          connection_ = nullptr;
-                          feed(distribution::ConnectionLost{});
-                      });
-    connection->send({{"type", "hello"}, {"version", transport::protocol_version}, {"kind", "scheduler"}});
+    connection->start(
+        [this](const nlohmann::json& document) {
+            feed(distribution::MessageReceived{messages::decode_core_update(document)});
+        },
+        [this, raw = connection.get()] {
+            if (connection_.get() != raw) return; // it was left before
+            connection_ = nullptr;
+            feed(distribution::ConnectionLost{});
+        });
+    connection->send(messages::encode(messages::SchedulerHello{}));
     feed(distribution::DialSucceeded{});
 }
 
@@ -70,9 +73,10 @@
     if (!connection_) return;
     membership::Lease lease = callbacks_.lease();
     lease.renewal = renewal.renewal;
-    connection_->send(distribution::lease_message(lease, callbacks_.holds(), callbacks_.lacks()));
+    const messages::RenewLease message{lease, callbacks_.active_position(), callbacks_.resync()};
+    connection_->send(messages::encode(message));
 }
 
-void CoreConnection::carry_out(const distribution::Pushed& pushed) { callbacks_.on_push(pushed.message); }
+void CoreConnection::carry_out(const distribution::Pushed& pushed) { callbacks_.on_update(pushed.message); }
 
 } // namespace willowrill::data
--- a/src/system/data/core_connection.h
+++ b/src/system/data/core_connection.h
@@ -4,13 +4,13 @@
 
 #include "system/distribution/core_session.h"
 #include "system/membership/lease_table.h"
+#include "system/messages/messages.h"
 #include "system/replication/types.h"
 #include "system/settings/settings.h"
 #include "system/transport/frame_connection.h"
 
 #include <functional>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -19,12 +19,13 @@
 class CoreConnection {
   public:
     struct Callbacks {
-        std::function<membership::Lease()> lease;                    // as of now
-        std::function<std::optional<replication::Position>()> holds; // the state in force, if any
-        std::function<std::set<std::string>()> lacks;                // what is to be sent whole
-        std::function<void()> session_began;                         // with another member, or the same anew
-        std::function<void(const nlohmann::json&)> on_push;          // state, members, zone
-        std::function<std::vector<settings::Endpoint>()> seeds;      // as the settings file names them now
+        std::function<membership::Lease()> lease; // as of now
+        std::function<std::optional<replication::Position>()>
+            active_position;                                        // of the state in force, if any
+        std::function<messages::ResyncRequest()> resync;            // what is to be sent as a snapshot
+        std::function<void()> session_began;                        // with another member, or the same anew
+        std::function<void(const messages::CoreUpdate&)> on_update; // state, members, zone
+        std::function<std::vector<settings::Endpoint>()> seeds;     // as the settings file names them now
     };
     CoreConnection(asio::io_context& loop, const settings::Settings& settings, Callbacks callbacks);
 
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -2,9 +2,7 @@
 
 #include "common/identity/random_identity.h"
 
-#include "system/discovery/codec.h"
-#include "system/distribution/held_state.h"
-#include "system/distribution/push_messages.h"
+#include "system/logging/log.h"
 #include "system/membership/codec.h"
 
 #include <fmt/format.h>
@@ -26,6 +24,10 @@
 constexpr std::uint64_t ticks_between_sweeps = 20;
 constexpr routing::Time cold_unknown{1500}; // how late the platform's list may tell that a worker turned cold
 
+void log_unreadable_configuration(const errors::Error& error) {
+    logging::error("configuration-unreadable").text("detail", error.detail);
+}
+
 } // namespace
 
 DataPlane::DataPlane(asio::io_context& loop, settings::Settings settings, std::string settings_path,
@@ -38,8 +40,8 @@
                  return context_.active_configuration ? std::optional(context_.active_configuration->position)
                                                       : std::nullopt;
              },
-             [this] { return std::exchange(lacks_, {}); }, [this] { members_.begin_session(); },
-             [this](const json& message) { on_push(message); },
+             [this] { return std::exchange(resync_, {}); }, [this] { members_.begin_session(); },
+             [this](const messages::CoreUpdate& update) { on_core_update(update); },
              [this] {
                  // The file may have changed without a signal; read only when a core member is looked for.
                  if (auto again = settings::load(settings_path_)) settings_.seeds = again.value().seeds;
@@ -130,37 +132,50 @@
     change_phase(Phase::leaving);
 }
 
-void DataPlane::on_push(const json& message) {
-    const auto type = message.at("type").get<std::string>();
-    if (type == "state" || type == "state-change") return on_state(message);
-    if (type == "members" || type == "members-change") return on_members(message);
-    if (type == "zone") return on_zone(message.at("list").get<discovery::ZoneList>());
+// ---- What the core member sends --------------------------------------------------------------------------
+
+void DataPlane::on_core_update(const messages::CoreUpdate& update) {
+    std::visit([this](const auto& one) { on(one); }, update);
 }
 
-void DataPlane::ask_whole(const char* what) {
-    lacks_.insert(what);
+// Renews at once, so that the core member hears of it.
+void DataPlane::request_snapshot(bool messages::ResyncRequest::*what) {
+    resync_.*what = true;
     core_.renew_now();
 }
 
-void DataPlane::on_state(const json& message) {
-    const ActiveConfiguration* held = context_.active_configuration.get();
-    auto push = distribution::read_state_push(message, held == nullptr ? nullptr : &held->position,
-                                              held == nullptr ? nullptr : &held->configuration);
-    if (!push) {
-        fmt::print(stderr, "level=error event=configuration-unreadable detail=\"{}\"\n", push.error().detail);
-        if (message.at("type") == "state-change") ask_whole(distribution::lacks_state);
-        return;
-    }
-    if (std::holds_alternative<distribution::LacksBase>(push.value()))
-        return ask_whole(distribution::lacks_state);
-    auto* next = std::get_if<distribution::HeldState>(&push.value());
-    if (next == nullptr) return;
-    if (context_.active_configuration) assume_cold(context_.active_configuration->evacuated, next->evacuated);
+std::optional<distribution::ActiveState> DataPlane::active_state() const {
+    const ActiveConfiguration* active = context_.active_configuration.get();
+    if (active == nullptr) return std::nullopt;
+    return distribution::ActiveState{active->position, &active->configuration};
+}
+
+void DataPlane::on(const messages::StateSnapshot& snapshot) {
+    auto result = distribution::apply(snapshot, active_state());
+    if (!result) return log_unreadable_configuration(result.error());
+    if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
+        put_in_force(std::move(*update), false);
+}
+
+void DataPlane::on(const messages::StateDelta& delta) {
+    auto result = distribution::apply(delta, active_state());
+    if (!result) log_unreadable_configuration(result.error());
+    if (!result || std::holds_alternative<distribution::MissingBase>(result.value()))
+        return request_snapshot(&messages::ResyncRequest::state);
+    if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
+        put_in_force(std::move(*update), true);
+}
+
+void DataPlane::put_in_force(distribution::StateUpdate update, bool is_delta) {
+    if (context_.active_configuration)
+        assume_cold(context_.active_configuration->evacuated, update.evacuated);
     context_.active_configuration = std::make_shared<const ActiveConfiguration>(
-        next->position, std::move(next->configuration), std::move(next->evacuated));
-    fmt::print(stderr, "level=info event=configuration node={} version={} evacuated={} change={}\n",
-               settings_.node_name, context_.active_configuration->configuration.version,
-               context_.active_configuration->evacuated.size(), message.at("type") == "state-change");
+        update.position, std::move(update.configuration), std::move(update.evacuated));
+    logging::info("configuration")
+        .field("node", settings_.node_name)
+        .field("version", context_.active_configuration->configuration.version)
+        .field("evacuated", context_.active_configuration->evacuated.size())
+        .field("change", is_delta);
 }
 
 // Workers of a zone that is taken back may have turned cold a moment ago, before the platform's list says so.
@@ -176,8 +191,17 @@
     }
 }
 
-void DataPlane::on_members(const json& message) {
-    if (!members_.take(message)) return ask_whole(distribution::lacks_members);
+void DataPlane::on(const messages::MembersSnapshot& snapshot) {
+    members_.apply(snapshot);
+    on_members_changed();
+}
+
+void DataPlane::on(const messages::MembersDelta& delta) {
+    if (!members_.apply(delta)) return request_snapshot(&messages::ResyncRequest::members);
+    on_members_changed();
+}
+
+void DataPlane::on_members_changed() {
     const auto members = members_.members();
     const Clock::time_point now = Clock::now();
     context_.scheduler_names.clear();
@@ -191,7 +215,8 @@
     readings_.on_members(members);
 }
 
-void DataPlane::on_zone(const discovery::ZoneList& list) {
+void DataPlane::on(const messages::ZoneListUpdate& update) {
+    const discovery::ZoneList& list = update.list;
     if (!catalogue_.take(list)) return;
     const routing::Time now = steady_now();
     std::set<std::string> listed;
--- a/src/system/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -7,9 +7,11 @@
 #include "system/data/front.h"
 #include "system/data/load_report_exchange.h"
 #include "system/discovery/instances.h"
-#include "system/distribution/held_members.h"
+#include "system/distribution/member_view.h"
+#include "system/distribution/state_update.h"
 #include "system/http/server.h"
 #include "system/membership/lease_table.h"
+#include "system/messages/messages.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
 
@@ -31,11 +33,19 @@
     using Clock = std::chrono::steady_clock;
 
     void tick();
-    void on_push(const nlohmann::json& message);
-    void on_state(const nlohmann::json& message);
-    void ask_whole(const char* what);
-    void on_members(const nlohmann::json& message);
-    void on_zone(const discovery::ZoneList& list);
+    void on_core_update(const messages::CoreUpdate& update);
+    void on(const messages::UnknownMessage&) const {}
+    void on(const messages::LeaseAck&) const {} // answered by the session
+    void on(const messages::StateSnapshot& snapshot);
+    void on(const messages::StateDelta& delta);
+    void on(const messages::MembersSnapshot& snapshot);
+    void on(const messages::MembersDelta& delta);
+    void on(const messages::ZoneListUpdate& update);
+    std::optional<distribution::ActiveState> active_state() const;
+    // `is_delta`: as the message came, for the log.
+    void put_in_force(distribution::StateUpdate update, bool is_delta);
+    void on_members_changed();
+    void request_snapshot(bool messages::ResyncRequest::*what);
     void assume_cold(const std::set<std::string>& before, const std::set<std::string>& after);
     void change_phase(membership::Phase next);
     bool knows_enough() const;
@@ -50,8 +60,8 @@
     membership::Phase phase_ = membership::Phase::starting;
     std::uint64_t incarnation_;
     discovery::Catalogue catalogue_;
-    distribution::HeldMembers members_;
-    std::set<std::string> lacks_; // to be sent whole; told to the core member with the next renewal
+    distribution::MemberView members_;
+    messages::ResyncRequest resync_; // sent to the core member with the next renewal
     std::size_t most_schedulers_ = 0;
     Clock::time_point most_since_;
     std::optional<Clock::time_point> workers_known_since_;
--- a/src/system/distribution/core_session.cpp
+++ b/src/system/distribution/core_session.cpp
@@ -72,13 +72,13 @@
     change_phase(Phase::idle);
 }
 
-int CoreSession::distance(const CoreMember& member) const {
+int CoreSession::distance(const messages::CoreMember& member) const {
     if (!place_.zone.empty() && member.zone == place_.zone) return 0;
     return !place_.region.empty() && member.region == place_.region ? 1 : 2;
 }
 
 void CoreSession::avoid(const std::string& host) {
-    if (!avoided_.contains(host) && avoided_.size() >= most_core_members) avoided_.clear();
+    if (!avoided_.contains(host) && avoided_.size() >= messages::max_core_members) avoided_.clear();
     Avoided& entry = avoided_[host];
     entry.pause = std::clamp(2 * entry.pause, shortest_avoidance, longest_avoidance);
     entry.until = now_ + entry.pause;
@@ -119,21 +119,19 @@
 void CoreSession::on(const MessageReceived& received) {
     if (phase_ != Phase::connected) return;
     answered_ = now_;
-    if (received.message.at("type") == "beat") return on_beat(received.message);
+    if (const auto* ack = std::get_if<messages::LeaseAck>(&received.message)) return on_lease_ack(*ack);
     actions_->emplace_back(Pushed{received.message});
 }
 
 // A current member's list replaces what is known, so that members that are gone are forgotten; one that is
 // behind may still name others that are not.
-void CoreSession::on_beat(const nlohmann::json& beat) {
-    const auto members = beat.at("core").get<std::vector<CoreMember>>();
-    const bool is_current = beat.at("current").get<bool>();
-    if (is_current) known_.clear();
-    for (const CoreMember& member : members) {
+void CoreSession::on_lease_ack(const messages::LeaseAck& ack) {
+    if (ack.current) known_.clear();
+    for (const messages::CoreMember& member : ack.core) {
         const std::string host = member.id.substr(0, member.id.find(':'));
-        if (known_.size() < most_core_members) known_.try_emplace(host, member);
+        if (known_.size() < messages::max_core_members) known_.try_emplace(host, member);
     }
-    if (!is_current) return;
+    if (!ack.current) return;
     current_ = now_;
     preferred_ = host_;
     next_candidate_ = 0;
--- a/src/system/distribution/core_session.h
+++ b/src/system/distribution/core_session.h
@@ -3,9 +3,7 @@
 // connections and time come from outside.
 #pragma once
 
-#include "system/distribution/push_messages.h"
-
-#include <nlohmann/json.hpp>
+#include "system/messages/messages.h"
 
 #include <chrono>
 #include <cstdint>
@@ -17,8 +15,6 @@
 
 namespace willowrill::distribution {
 
-inline constexpr std::size_t most_core_members = 64;
-
 using SteadyTime = std::chrono::milliseconds;
 
 // ---- Events ----------------------------------------------------------------------------------------------
@@ -28,7 +24,7 @@
 struct DialFailed {};
 struct ConnectionLost {};
 struct MessageReceived {
-    nlohmann::json message;
+    messages::CoreUpdate message;
 };
 // What the lease says has changed: the core is to know at once.
 struct LeaseChanged {};
@@ -45,9 +41,9 @@
 struct RenewLease {
     std::uint64_t renewal = 0;
 };
-// A state, a list of members or a list of workers.
+// A state, the members or a list of workers, for the scheduler to take in.
 struct Pushed {
-    nlohmann::json message;
+    messages::CoreUpdate message;
 };
 using SessionAction = std::variant<Dial, Disconnect, RenewLease, Pushed>;
 
@@ -62,7 +58,6 @@
     explicit CoreSession(std::function<std::vector<std::string>()> seeds, Place place = {})
         : seeds_(std::move(seeds)), place_(std::move(place)) {}
 
-    // Throws nlohmann::json::exception on a message of the wrong shape.
     void step(SteadyTime now, const SessionEvent& event, std::vector<SessionAction>& actions);
     bool connected() const { return phase_ == Phase::connected; }
 
@@ -78,11 +73,11 @@
     void change_phase(Phase next);
     void dial_next();
     void renew();
-    void on_beat(const nlohmann::json& beat);
+    void on_lease_ack(const messages::LeaseAck& ack);
     void avoid(const std::string& host);
     void move_nearer();
     // Of a member from here: 0 in this zone, 1 in this region, 2 elsewhere or not known.
-    int distance(const CoreMember& member) const;
+    int distance(const messages::CoreMember& member) const;
     std::vector<std::string> candidates() const;
 
     // A member that was left or could not be reached, and is not moved to for a while.
@@ -97,11 +92,11 @@
     std::vector<SessionAction>* actions_ = nullptr;
 
     Phase phase_ = Phase::idle;
-    std::string host_;                        // dialled last
-    std::string preferred_;                   // the one that was current last
-    std::map<std::string, CoreMember> known_; // by host, as the last current one named them; at most
-                                              // `most_core_members`
-    std::map<std::string, Avoided> avoided_;  // by host; at most `most_core_members`
+    std::string host_;                                  // dialled last
+    std::string preferred_;                             // the one that was current last
+    std::map<std::string, messages::CoreMember> known_; // by host, as the last current one named them; at
+                                                        // most `max_core_members`
+    std::map<std::string, Avoided> avoided_;            // by host; at most `max_core_members`
     std::size_t next_candidate_ = 0;
     SteadyTime renewed_{0}, answered_{0}, current_{0};
     std::uint64_t renewal_ = 0;
--- a/src/system/distribution/scheduler_hub.cpp
+++ b/src/system/distribution/scheduler_hub.cpp
@@ -1,12 +1,13 @@
 #include "system/distribution/scheduler_hub.h"
 
-#include "system/discovery/codec.h"
-#include "system/membership/codec.h"
+#include "system/distribution/state_messages.h"
+#include "system/messages/codec.h"
+
+#include <utility>
 
 namespace willowrill::distribution {
 
-using nlohmann::json;
-using transport::frame_of;
+using messages::frame_of;
 
 void SchedulerHub::adopt(SessionId id) {
     if (sessions_.size() >= membership::most_leases) return callbacks_.close(id);
@@ -16,22 +17,22 @@
         callbacks_.send(id, frame);
 }
 
-void SchedulerHub::on_message(SessionId id, const json& message) {
+void SchedulerHub::on_message(SessionId id, const messages::SchedulerMessage& message) {
     const auto session = sessions_.find(id);
-    if (session == sessions_.end() || message.at("type") != "lease") return;
-    const auto lease = message.at("lease").get<membership::Lease>();
-    session->second.lease = lease;
-    session->second.holds.reset();
-    if (!message.at("holds").is_null()) session->second.holds = position_in(message.at("holds"));
-    answer_lacks(id, session->second, message);
-    callbacks_.renewed(lease);
-    // One that came while this member was behind, or between two primaries, is owed the state.
-    send_state(id, session->second);
+    if (session == sessions_.end()) return;
+    if (const auto* renewal = std::get_if<messages::RenewLease>(&message))
+        on_renewal(id, session->second, *renewal);
+}
+
+void SchedulerHub::on_renewal(SessionId id, Session& session, const messages::RenewLease& renewal) {
+    session.lease = renewal.lease;
+    session.holds = renewal.active_position;
+    answer_resync(id, session, renewal.resync);
+    callbacks_.renewed(renewal.lease);
+    // A session that began while this member was behind, or between two primaries, has not got the state yet.
+    send_state(id, session);
     const bool current = callbacks_.is_current();
-    callbacks_.send(id, frame_of({{"type", "beat"},
-                                  {"renewal", lease.renewal},
-                                  {"current", current},
-                                  {"core", callbacks_.core()}}));
+    callbacks_.send(id, frame_of(messages::LeaseAck{renewal.lease.renewal, current, callbacks_.core()}));
 }
 
 void SchedulerHub::on_closed(SessionId id) {
@@ -42,26 +43,24 @@
     if (lease) callbacks_.ended(*lease);
 }
 
-void SchedulerHub::answer_lacks(SessionId id, Session& session, const json& message) const {
-    const json lacks = message.value("lacks", json::array());
-    for (const json& what : lacks) {
-        if (what == lacks_members && members_) callbacks_.send(id, members_);
-        if (what != lacks_state) continue;
-        session.sent.reset();
-        session.lacks_base = true;
-    }
+void SchedulerHub::answer_resync(SessionId id, Session& session,
+                                 const messages::ResyncRequest& resync) const {
+    if (resync.members && members_) callbacks_.send(id, members_);
+    if (!resync.state) return;
+    session.sent.reset();
+    session.lacks_base = true;
 }
 
 void SchedulerHub::publish_state(const replication::Position& position,
                                  const configuration::ControlState& state) {
     state_change_ = nullptr;
     if (whole_state_)
-        if (const auto change = state_change_message(position_, state_, position, state))
+        if (const auto change = make_state_delta(position_, state_, position, state))
             state_change_ = frame_of(*change);
     base_ = position_;
     position_ = position;
     state_ = state;
-    whole_state_ = frame_of(state_message(position, state));
+    whole_state_ = frame_of(make_state_snapshot(position, state));
     for (auto& [id, session] : sessions_)
         send_state(id, session);
 }
@@ -104,13 +103,13 @@
     told_members_ = wanted_members_;
     const bool first = !members_;
     ++members_number_;
-    members_ = frame_of(members_message(members_number_, all));
-    push(first ? members_ : frame_of(members_change_message(members_number_, changed, gone)));
+    members_ = frame_of(messages::MembersSnapshot{members_number_, all});
+    push(first ? members_ : frame_of(messages::MembersDelta{members_number_, changed, gone}));
 }
 
 void SchedulerHub::publish_zone(const discovery::ZoneList& list) {
     Frame& frame = zones_[list.zone];
-    frame = frame_of({{"type", "zone"}, {"list", list}});
+    frame = frame_of(messages::CoreUpdate{messages::ZoneListUpdate{list}});
     push(frame);
 }
 
--- a/src/system/distribution/scheduler_hub.h
+++ b/src/system/distribution/scheduler_hub.h
@@ -7,8 +7,8 @@
 
 #include "system/configuration/control_state.h"
 #include "system/discovery/instances.h"
-#include "system/distribution/push_messages.h"
 #include "system/membership/lease_table.h"
+#include "system/messages/messages.h"
 #include "system/replication/types.h"
 #include "system/transport/frame.h"
 
@@ -28,17 +28,16 @@
   public:
     struct Callbacks {
         std::function<void(SessionId, const Frame&)> send;
-        std::function<void(SessionId)> close;                  // there are too many
-        std::function<bool()> is_current;                      // whether this member's state is current
-        std::function<std::vector<CoreMember>()> core;         // the core members reached
-        std::function<void(const membership::Lease&)> renewed; // by its holder, here
-        std::function<void(const membership::Lease&)> ended;   // the holder's connection broke
+        std::function<void(SessionId)> close;                    // there are too many
+        std::function<bool()> is_current;                        // whether this member's state is current
+        std::function<std::vector<messages::CoreMember>()> core; // the core members reached
+        std::function<void(const membership::Lease&)> renewed;   // by its holder, here
+        std::function<void(const membership::Lease&)> ended;     // the holder's connection broke
     };
     explicit SchedulerHub(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
 
     void adopt(SessionId id);
-    // Throws nlohmann::json::exception on a message of the wrong shape.
-    void on_message(SessionId id, const nlohmann::json& message);
+    void on_message(SessionId id, const messages::SchedulerMessage& message);
     void on_closed(SessionId id);
 
     void publish_state(const replication::Position& position, const configuration::ControlState& state);
@@ -59,7 +58,8 @@
     void push(const Frame& frame) const;
     void send_state(SessionId id, Session& session) const;
     const Frame& state_frame_for(const Session& session) const;
-    void answer_lacks(SessionId id, Session& session, const nlohmann::json& message) const;
+    void on_renewal(SessionId id, Session& session, const messages::RenewLease& renewal);
+    void answer_resync(SessionId id, Session& session, const messages::ResyncRequest& resync) const;
 
     Callbacks callbacks_;
     std::map<SessionId, Session> sessions_; // at most `most_leases`
--- /dev/null
+++ b/src/system/messages/messages.h
@@ -0,0 +1,179 @@
+// The messages between core members, and between a scheduler and its core member, as types. How they are
+// spelled on the wire is known to `messages/codec.h` alone. Plain values; no thread of their own.
+//
+// Shared content is sent as numbered snapshots and deltas: a receiver that has not got the base of a delta
+// asks for the snapshot. A message of a type that this version does not know is decoded as `UnknownMessage`,
+// so that versions can run side by side.
+#pragma once
+
+#include "system/configuration/control_state.h"
+#include "system/discovery/instances.h"
+#include "system/membership/lease_table.h"
+#include "system/ownership/ownership.h"
+#include "system/replication/types.h"
+
+#include <cstdint>
+#include <optional>
+#include <set>
+#include <string>
+#include <variant>
+#include <vector>
+
+namespace willowrill::messages {
+
+// How many core members a process takes in at most.
+inline constexpr std::size_t max_core_members = 64;
+
+// A message of a type that this version does not know; its receiver ignores it.
+struct UnknownMessage {};
+
+// A core member and its location, by which schedulers choose a near one.
+struct CoreMember {
+    std::string id; // control endpoint, HOST:PORT
+    std::string zone;
+    std::string region;
+    bool operator==(const CoreMember&) const = default;
+};
+
+// ---- The first message on a connection -------------------------------------------------------------------
+
+// Sent by a core member that dials another.
+struct CoreHello {
+    CoreMember member;
+};
+
+// Sent by a scheduler that dials a core member.
+struct SchedulerHello {};
+
+using Hello = std::variant<CoreHello, SchedulerHello>;
+
+// ---- Between core members --------------------------------------------------------------------------------
+
+// A message of the replication protocol.
+struct ReplicationEnvelope {
+    replication::Message message;
+};
+
+// The core members that the sender is connected to.
+struct CorePeers {
+    std::vector<std::string> members; // ids
+};
+
+// The list of leases renewed at one core member, in one incarnation of its process.
+struct LeaseListVersion {
+    std::uint64_t incarnation = 0;
+    std::uint64_t number = 0; // grows by one with each delta
+    bool operator==(const LeaseListVersion&) const = default;
+};
+
+// All leases renewed at the sender.
+struct LeasesSnapshot {
+    LeaseListVersion version;
+    std::vector<membership::Lease> leases;
+};
+
+// The difference to the list with the number before.
+struct LeasesDelta {
+    LeaseListVersion version;
+    std::vector<membership::Lease> changed;
+    std::vector<std::string> removed; // nodes
+};
+
+// Renews every lease of the list with this version, apart from some.
+struct LeasesKeepAlive {
+    LeaseListVersion version;
+    std::set<std::string> silent; // nodes that have not renewed
+};
+
+// Asks the receiver for its snapshot.
+struct LeasesSnapshotRequest {};
+
+// An update of the list in a form that this version does not know: only its version can be read.
+struct UnknownLeasesUpdate {
+    LeaseListVersion version;
+};
+
+using LeasesMessage =
+    std::variant<LeasesSnapshot, LeasesDelta, LeasesKeepAlive, LeasesSnapshotRequest, UnknownLeasesUpdate>;
+
+// Who polls the platform for which zone, as the primary assigned it. The key of an assignment is the zone.
+struct RoleAssignments {
+    std::vector<ownership::Assignment> assignments;
+};
+
+// A zone's endpoint list, complete. Also sent to schedulers.
+struct ZoneListUpdate {
+    discovery::ZoneList list;
+};
+
+// The zone's owner has read the list again and found what it published last.
+struct ZoneListUnchanged {
+    std::string zone;
+    discovery::FencingToken token;
+};
+
+using EndpointListMessage = std::variant<RoleAssignments, ZoneListUpdate, ZoneListUnchanged>;
+
+using CoreMessage =
+    std::variant<UnknownMessage, ReplicationEnvelope, CorePeers, LeasesMessage, EndpointListMessage>;
+
+// ---- From a scheduler to its core member -----------------------------------------------------------------
+
+// What a scheduler wants to be sent as a snapshot, as it has not got the base of a delta.
+struct ResyncRequest {
+    bool state = false;
+    bool members = false;
+    bool operator==(const ResyncRequest&) const = default;
+};
+
+struct RenewLease {
+    membership::Lease lease;
+    std::optional<replication::Position> active_position; // of the configuration in force, if any
+    ResyncRequest resync;
+};
+
+using SchedulerMessage = std::variant<UnknownMessage, RenewLease>;
+
+// ---- From a core member to its schedulers ----------------------------------------------------------------
+
+// Answers a renewal.
+struct LeaseAck {
+    std::uint64_t renewal = 0;
+    bool current = false;         // whether a quorum vouched a moment ago for the core member's state
+    std::vector<CoreMember> core; // the core members that the sender reaches, itself among them
+};
+
+// The newest committed state, complete.
+struct StateSnapshot {
+    replication::Position position;
+    configuration::Version version = 0;
+    std::string configuration; // JSON text
+    std::set<std::string> evacuated_zones;
+};
+
+// The newest committed state as the difference to the one at `base`.
+struct StateDelta {
+    replication::Position base;
+    replication::Position position;
+    configuration::Version version = 0;
+    std::optional<std::string> patch; // JSON text; none where the configuration is that of the base
+    std::set<std::string> evacuated_zones;
+};
+
+// All members, as leases whose renewal numbers are not told.
+struct MembersSnapshot {
+    std::uint64_t number = 0;
+    std::vector<membership::Lease> members;
+};
+
+// The difference to the list with the number before.
+struct MembersDelta {
+    std::uint64_t number = 0;
+    std::vector<membership::Lease> changed;
+    std::vector<std::string> removed; // nodes
+};
+
+using CoreUpdate = std::variant<UnknownMessage, LeaseAck, StateSnapshot, StateDelta, MembersSnapshot,
+                                MembersDelta, ZoneListUpdate>;
+
+} // namespace willowrill::messages
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -1,5 +1,7 @@
 #include "system/simulation/member.h"
 
+#include "system/messages/codec.h"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -54,9 +56,9 @@
         [this] { return world_.break_always_current || replica_->current(world_.queue.now()); },
         [this] {
             const auto place = [](const MemberId& member) {
-                return distribution::CoreMember{member, member.substr(0, member.find(':')), "region"};
+                return messages::CoreMember{member, member.substr(0, member.find(':')), "region"};
             };
-            std::vector<distribution::CoreMember> out{place(id_)};
+            std::vector<messages::CoreMember> out{place(id_)};
             for (const auto& [member, link] : links_)
                 out.push_back(place(member));
             return out;
@@ -280,7 +282,7 @@
 }
 
 void Member::on_scheduler_message(distribution::SessionId id, const nlohmann::json& message) {
-    hub_->on_message(id, message);
+    hub_->on_message(id, messages::decode_scheduler_message(message));
 }
 
 void Member::on_scheduler_closed(distribution::SessionId id) {
--- a/src/system/simulation/scheduler.h
+++ b/src/system/simulation/scheduler.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "system/distribution/core_session.h"
-#include "system/distribution/held_state.h"
+#include "system/distribution/state_update.h"
 #include "system/simulation/member.h"
 
 #include <optional>
@@ -36,6 +36,8 @@
     void carry_out(const distribution::Disconnect&);
     void carry_out(const distribution::RenewLease& renewal);
     void carry_out(const distribution::Pushed& pushed);
+    std::optional<distribution::ActiveState> active_state() const;
+    void take_in(errors::Result<distribution::StateUpdateResult> result);
     void on_connected(const ConnectionPtr& connection, Member& member);
 
     World& world_;
@@ -48,8 +50,8 @@
     bool up_ = false;
     std::uint64_t life_ = 0;
     Time started_{0};
-    std::optional<distribution::HeldState> held_;
-    std::set<std::string> lacks_;
+    std::optional<distribution::StateUpdate> held_;
+    messages::ResyncRequest resync_;
     const std::set<std::string> nothing_;
 };
 
