--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -24,7 +24,7 @@
 constexpr std::chrono::milliseconds grace_margin{
     1000}; // the process ends this long before the platform ends it
 constexpr int resolution_ttl_s = 1;
-constexpr std::size_t most_unnamed = 256;
+constexpr std::size_t max_unidentified = 256;
 
 std::string query_value(std::string_view target, std::string_view key) {
     const std::size_t mark = target.find('?');
@@ -62,15 +62,15 @@
              },
              [this] { assign_lists(); }}), // schedulers that start wait for the list
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
-      hub_(hub_callbacks()),
+      sessions_(session_callbacks()),
       leases_(
           identity::random_identity(),
           {[this](const messages::LeasesMessage& message) { mesh_.broadcast(message); },
            [this](const MemberId& to, const messages::LeasesMessage& message) { mesh_.send(to, message); },
-           [this](const std::vector<membership::Lease>& leases) { hub_.publish_members(leases); }}),
+           [this](const std::vector<membership::Lease>& leases) { sessions_.publish_members(leases); }}),
       lists_(loop, settings_, metrics_,
              {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
-              [this](const discovery::ZoneList& list) { hub_.publish_zone(list); }}),
+              [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
       timer_(loop),
       listener_(loop, settings_.address, settings_.first_internal_port,
                 [this](const transport::FrameConnectionPtr& connection) { accept(connection); }),
@@ -86,8 +86,8 @@
             [this](const http_server::Request& request, const http_server::Respond& respond) {
                 on_directory(request, respond);
             });
-    places_[self_] = {self_, settings_.zone, settings_.region};
-    know_members();
+    member_locations_[self_] = {self_, settings_.zone, settings_.region};
+    discover_peers();
     tick();
 }
 
@@ -100,7 +100,7 @@
 }
 
 void ControlPlane::refresh_levels() {
-    metrics_.set(metrics::Level::sessions, static_cast<double>(hub_.sessions()));
+    metrics_.set(metrics::Level::sessions, static_cast<double>(sessions_.sessions()));
     metrics_.set(metrics::Level::is_primary, node_.is_primary() ? 1 : 0);
     metrics_.set(metrics::Level::epoch, static_cast<double>(node_.witness_register().decided.epoch));
     metrics_.set(metrics::Level::members, static_cast<double>(leases_.leases().size()));
@@ -110,15 +110,15 @@
     return {[this](const MemberId& member) { on_peer_connected(member); },
             [this](const MemberId& member) { node_.feed(replication::PeerDisconnected{member}); },
             [this](const MemberId& member) {
-                const auto place = places_.find(member);
-                const bool known = place != places_.end();
+                const auto place = member_locations_.find(member);
+                const bool known = place != member_locations_.end();
                 return counter("core", metrics::crossing(settings_.zone, settings_.region,
                                                          known ? place->second.zone : "",
                                                          known ? place->second.region : ""));
             }};
 }
 
-distribution::SchedulerHub::Callbacks ControlPlane::hub_callbacks() {
+distribution::SchedulerSessions::Callbacks ControlPlane::session_callbacks() {
     using distribution::SessionId;
     return {[this](SessionId id, const transport::Frame& frame) {
                 if (const auto found = schedulers_.find(id); found != schedulers_.end())
@@ -129,7 +129,7 @@
                     found->second->close();
             },
             [this] { return node_.current(); },
-            [this] { return reached_places(); },
+            [this] { return reached_members(); },
             [this](const membership::Lease& lease) { leases_.on_renewed(steady_now(), lease); },
             [this](const membership::Lease& lease) { leases_.on_disconnected(lease); }};
 }
@@ -140,24 +140,24 @@
     return out;
 }
 
-std::vector<messages::CoreMember> ControlPlane::reached_places() const {
+std::vector<messages::CoreMember> ControlPlane::reached_members() const {
     std::vector<messages::CoreMember> out;
     for (const MemberId& id : reached()) {
-        const auto place = places_.find(id);
-        out.push_back(place == places_.end() ? messages::CoreMember{id, "", ""} : place->second);
+        const auto place = member_locations_.find(id);
+        out.push_back(place == member_locations_.end() ? messages::CoreMember{id, "", ""} : place->second);
     }
     return out;
 }
 
-void ControlPlane::know_members() {
+void ControlPlane::discover_peers() {
     for (const settings::Endpoint& seed : settings_.seeds)
-        mesh_.know(settings::to_text(seed));
+        mesh_.add_peer(settings::to_text(seed));
     const replication::WitnessRegister& known = node_.witness_register();
     for (const auto* record : {&known.accepted, &known.decided}) {
         for (const MemberId& id : record->witnesses)
-            mesh_.know(id);
+            mesh_.add_peer(id);
         for (const MemberId& id : record->in_sync)
-            mesh_.know(id);
+            mesh_.add_peer(id);
     }
 }
 
@@ -168,7 +168,7 @@
         return;
     }
     settings_.seeds = again.value().seeds;
-    know_members();
+    discover_peers();
 }
 
 void ControlPlane::tick() {
@@ -176,14 +176,14 @@
     node_.tick();
     lists_.tick();
     leases_.expire(steady_now());
-    hub_.flush();
+    sessions_.flush();
     if (ticks_ % ticks_between_dials == 0) {
-        know_members();
+        discover_peers();
         mesh_.maintain();
     }
     if (ticks_ % ticks_between_gossip == 0) {
         leases_.publish();
-        tell_core();
+        announce_peers();
     }
     if (ticks_ % ticks_between_assignments == 0) assign_lists();
     end_if_possible();
@@ -194,12 +194,12 @@
 }
 
 // Whom this member reaches: at a change, and now and then for those that missed it.
-void ControlPlane::tell_core() {
+void ControlPlane::announce_peers() {
     auto connected = mesh_.connected();
     const bool due = ticks_ % (ticks_between_gossip * gossips_between_cores) == 0;
-    if (connected == told_core_ && !due) return;
+    if (connected == announced_peers_ && !due) return;
     mesh_.broadcast(messages::CorePeers{connected});
-    told_core_ = std::move(connected);
+    announced_peers_ = std::move(connected);
 }
 
 void ControlPlane::assign_lists() {
@@ -208,7 +208,7 @@
 }
 
 void ControlPlane::on_state(const replication::Position& position, const configuration::ControlState& state) {
-    if (state.version > 0) hub_.publish_state(position, state);
+    if (state.version > 0) sessions_.publish_state(position, state);
 }
 
 // ---- The end ---------------------------------------------------------------------------------------------
@@ -231,22 +231,22 @@
 // ---- Connections -----------------------------------------------------------------------------------------
 
 void ControlPlane::accept(const transport::FrameConnectionPtr& connection) {
-    if (unnamed_.size() >= most_unnamed) return connection->close();
-    unnamed_.insert(connection);
+    if (unidentified_.size() >= max_unidentified) return connection->close();
+    unidentified_.insert(connection);
     auto member = std::make_shared<std::optional<MemberId>>(); // who it said it is
     auto session = std::make_shared<std::optional<distribution::SessionId>>();
     const auto on_message = [this, connection = std::weak_ptr(connection), member,
                              session](const json& message) {
         const auto self = connection.lock();
         if (!self) return;
-        if (*session) return hub_.on_message(**session, messages::decode_scheduler_message(message));
+        if (*session) return sessions_.on_message(**session, messages::decode_scheduler_message(message));
         if (*member) return on_core_message(**member, messages::decode_core_message(message));
-        unnamed_.erase(self);
+        unidentified_.erase(self);
         const auto hello = messages::decode_hello(message);
         if (!hello) return self->close();
         if (const auto* core = std::get_if<messages::CoreHello>(&*hello)) {
-            if (!mesh_.know(core->member.id)) return self->close();
-            places_[core->member.id] = core->member; // bounded, as the mesh is
+            if (!mesh_.add_peer(core->member.id)) return self->close();
+            member_locations_[core->member.id] = core->member; // bounded, as the mesh is
             *member = core->member.id;
         } else {
             *session = ++last_session_;
@@ -254,9 +254,9 @@
         }
     };
     connection->start(on_message, [this, connection = std::weak_ptr(connection), session] {
-        if (const auto self = connection.lock()) unnamed_.erase(self);
+        if (const auto self = connection.lock()) unidentified_.erase(self);
         if (!*session) return;
-        hub_.on_closed(**session);
+        sessions_.on_closed(**session);
         schedulers_.erase(**session);
     });
 }
@@ -265,7 +265,7 @@
                                    distribution::SessionId id) {
     schedulers_[id] = connection;
     connection->count_into(counter("scheduler", metrics::Crossing::unknown));
-    hub_.adopt(id);
+    sessions_.adopt(id);
 }
 
 void ControlPlane::on_peer_connected(const MemberId& member) {
@@ -287,7 +287,7 @@
 
 void ControlPlane::on(const MemberId& /*from*/, const messages::CorePeers& peers) {
     for (const MemberId& id : peers.members)
-        mesh_.know(id);
+        mesh_.add_peer(id);
 }
 
 void ControlPlane::on(const MemberId& from, const messages::LeasesMessage& message) {
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -4,10 +4,10 @@
 
 #include "system/control/core_mesh.h"
 #include "system/control/core_node.h"
-#include "system/control/lease_gossip.h"
-#include "system/control/list_owners.h"
+#include "system/control/endpoint_list_service.h"
+#include "system/control/lease_replicator.h"
 #include "system/control/operator_api.h"
-#include "system/distribution/scheduler_hub.h"
+#include "system/distribution/scheduler_sessions.h"
 #include "system/http/server.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
@@ -37,11 +37,11 @@
 
     void tick();
     void assign_lists();
-    void tell_core();
+    void announce_peers();
     void end_if_possible();
-    void know_members();
+    void discover_peers();
     std::vector<MemberId> reached() const;
-    std::vector<messages::CoreMember> reached_places() const;
+    std::vector<messages::CoreMember> reached_members() const;
     void accept(const transport::FrameConnectionPtr& connection);
     void adopt_scheduler(const transport::FrameConnectionPtr& connection, distribution::SessionId id);
     void on_core_message(const MemberId& from, const messages::CoreMessage& message);
@@ -54,7 +54,7 @@
     void on_state(const replication::Position& position, const configuration::ControlState& state);
     void on_directory(const http_server::Request& request, const http_server::Respond& respond) const;
     CoreMesh::Callbacks mesh_callbacks();
-    distribution::SchedulerHub::Callbacks hub_callbacks();
+    distribution::SchedulerSessions::Callbacks session_callbacks();
 
     std::function<void(std::size_t)> counter(const char* kind, metrics::Crossing crossing);
     void refresh_levels();
@@ -66,14 +66,14 @@
     MemberId self_;
     CoreNode node_;
     CoreMesh mesh_;
-    distribution::SchedulerHub hub_;
-    std::map<MemberId, messages::CoreMember> places_; // as members said of themselves
+    distribution::SchedulerSessions sessions_;
+    std::map<MemberId, messages::CoreMember> member_locations_; // as members said of themselves
     std::map<distribution::SessionId, transport::FrameConnectionPtr> schedulers_;
     distribution::SessionId last_session_ = 0;
-    LeaseGossip leases_;
-    std::vector<MemberId> told_core_;
-    ListOwners lists_;
-    std::set<transport::FrameConnectionPtr> unnamed_; // accepted, and have not said who they are
+    LeaseReplicator leases_;
+    std::vector<MemberId> announced_peers_;
+    EndpointListService lists_;
+    std::set<transport::FrameConnectionPtr> unidentified_; // accepted, and have not said who they are
     SteadyTimer timer_;
     std::uint64_t ticks_ = 0;
     std::optional<Clock::time_point> left_at_;
--- a/src/system/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -17,7 +17,7 @@
                    Callbacks callbacks)
     : loop_(loop), self_(std::move(self)), internal_port_(internal_port), callbacks_(std::move(callbacks)) {}
 
-bool CoreMesh::know(const MemberId& member) {
+bool CoreMesh::add_peer(const MemberId& member) {
     if (member == self_.id) return false;
     if (links_.contains(member)) return true;
     if (links_.size() >= messages::max_core_members || !settings::parse_endpoint(member)) return false;
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -30,7 +30,7 @@
              Callbacks callbacks);
 
     // Keeps trying to reach this member from now on. False where it is no member's id, or there are too many.
-    bool know(const MemberId& member);
+    bool add_peer(const MemberId& member);
     // Dials whom it is not connected to; called now and then.
     void maintain();
     void send(const MemberId& to, const messages::CoreMessage& message);
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -26,7 +26,7 @@
 CoreNode::CoreNode(asio::io_context& loop, const settings::Settings& settings, Callbacks callbacks)
     : self_(settings::to_text(settings.control)), callbacks_(std::move(callbacks)),
       replica_(options_of(settings)), orders_([this](replication::Event event) { feed(std::move(event)); }),
-      disk_(loop, settings.data_path, [this](replication::Event event) { feed(std::move(event)); }) {}
+      store_(loop, settings.data_path, [this](replication::Event event) { feed(std::move(event)); }) {}
 
 // Events that actions give rise to wait for their turn: the replica is never entered twice.
 void CoreNode::feed(replication::Event event) {
@@ -47,7 +47,7 @@
 void CoreNode::carry_out(const replication::Action& action) {
     if (const auto* send = std::get_if<replication::Send>(&action))
         return callbacks_.send(send->to, send->message);
-    if (const auto* save = std::get_if<replication::Save>(&action)) return disk_.save(*save);
+    if (const auto* save = std::get_if<replication::Save>(&action)) return store_.save(*save);
     if (const auto* committed = std::get_if<replication::Committed>(&action)) return orders_.on(*committed);
     if (const auto* undecided = std::get_if<replication::OutcomeUnknown>(&action))
         return orders_.on(*undecided);
--- a/src/system/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -2,8 +2,8 @@
 // One thread.
 #pragma once
 
-#include "system/control/disk_worker.h"
 #include "system/control/order_queue.h"
+#include "system/control/replica_store_thread.h"
 #include "system/replication/replica.h"
 #include "system/settings/settings.h"
 #include "system/transport/process.h"
@@ -48,7 +48,7 @@
     replication::Role last_role_ = replication::Role::loading;
     replication::Epoch last_epoch_ = 0;
     OrderQueue orders_;
-    DiskWorker disk_;
+    ReplicaStoreThread store_;
 };
 
 } // namespace willowrill::control
--- a/src/system/control/directory.cpp
+++ b/src/system/control/directory.cpp
@@ -19,7 +19,7 @@
         for (const membership::Lease& lease : leases) {
             const bool fits =
                 lease.phase == membership::Phase::ready && distance(lease, region, zone) == wanted;
-            if (fits && out.size() < most_addresses) out.push_back(lease.client_address);
+            if (fits && out.size() < max_addresses) out.push_back(lease.client_address);
         }
     }
     return out;
--- a/src/system/control/directory.h
+++ b/src/system/control/directory.h
@@ -9,7 +9,7 @@
 
 namespace willowrill::control {
 
-inline constexpr std::size_t most_addresses = 64;
+inline constexpr std::size_t max_addresses = 64;
 inline constexpr std::size_t enough_in_zone = 2; // fewer are helped by schedulers of other zones
 
 std::vector<std::string> resolve(const std::vector<membership::Lease>& leases, const std::string& region,
--- a/src/system/control/list_owners.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -1,4 +1,4 @@
-#include "system/control/list_owners.h"
+#include "system/control/endpoint_list_service.h"
 
 #include "system/transport/process.h"
 
@@ -7,23 +7,23 @@
 namespace willowrill::control {
 namespace {
 
-constexpr std::chrono::milliseconds owner_patience{1600};
-constexpr std::chrono::milliseconds retell_period{800};
+constexpr std::chrono::milliseconds owner_timeout{1600};
+constexpr std::chrono::milliseconds republish_period{800};
 
 } // namespace
 
-ListOwners::ListOwners(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
-                       Callbacks callbacks)
+EndpointListService::EndpointListService(asio::io_context& loop, const settings::Settings& settings,
+                                         metrics::Metrics& metrics, Callbacks callbacks)
     : self_(settings::to_text(settings.control)), callbacks_(std::move(callbacks)),
-      reader_(loop, settings.platform, metrics,
+      poller_(loop, settings.platform, metrics,
               [this](const discovery::ZoneList& list) { on_own_list(list); }) {
     for (const auto& [zone, region] : settings.regions)
         zones_.push_back(zone);
 }
 
-void ListOwners::assign(std::uint64_t epoch, const std::vector<std::string>& live) {
+void EndpointListService::assign(std::uint64_t epoch, const std::vector<std::string>& live) {
     if (!assigner_ || assigner_epoch_ != epoch) {
-        assigner_.emplace(epoch, owner_patience);
+        assigner_.emplace(epoch, owner_timeout);
         assigner_epoch_ = epoch;
     }
     const messages::RoleAssignments roles{assigner_->assign(zones_, live, steady_now())};
@@ -31,39 +31,39 @@
     on(roles);
 }
 
-void ListOwners::on_message(const messages::EndpointListMessage& message) {
+void EndpointListService::on_message(const messages::EndpointListMessage& message) {
     std::visit([this](const auto& one) { on(one); }, message);
 }
 
-void ListOwners::on(const messages::ZoneListUnchanged& unchanged) {
-    if (assigner_) assigner_->seen(unchanged.zone, unchanged.token, steady_now());
+void EndpointListService::on(const messages::ZoneListUnchanged& unchanged) {
+    if (assigner_) assigner_->on_work_seen(unchanged.zone, unchanged.token, steady_now());
 }
 
-void ListOwners::on(const messages::RoleAssignments& roles) {
+void EndpointListService::on(const messages::RoleAssignments& roles) {
     for (const ownership::Assignment& role : roles.assignments) {
         if (role.owner == self_)
-            reader_.own(role.key, role.token);
+            poller_.start_polling(role.key, role.token);
         else
-            reader_.yield(role.key, role.token);
+            poller_.stop_polling(role.key, role.token);
     }
-    reader_.tick(Clock::now());
+    poller_.tick(Clock::now());
 }
 
-void ListOwners::on_own_list(const discovery::ZoneList& list) {
+void EndpointListService::on_own_list(const discovery::ZoneList& list) {
     const auto held = catalogue_.zones().find(list.zone);
     const bool same = held != catalogue_.zones().end() && held->second.token == list.token &&
-                      discovery::same_content(held->second.instances, list.instances, retell_period / 2);
-    take_list(list);
+                      discovery::same_content(held->second.instances, list.instances, republish_period / 2);
+    apply_list(list);
     const Clock::time_point now = Clock::now();
-    if (same && now - told_[list.zone] < 4 * retell_period)
+    if (same && now - list_sent_at_[list.zone] < 4 * republish_period)
         return callbacks_.broadcast(messages::ZoneListUnchanged{list.zone, list.token});
-    told_[list.zone] = now;
+    list_sent_at_[list.zone] = now;
     callbacks_.broadcast(messages::ZoneListUpdate{list});
 }
 
-void ListOwners::take_list(const discovery::ZoneList& list) {
+void EndpointListService::apply_list(const discovery::ZoneList& list) {
     if (!catalogue_.take(list)) return;
-    if (assigner_) assigner_->seen(list.zone, list.token, steady_now());
+    if (assigner_) assigner_->on_work_seen(list.zone, list.token, steady_now());
     const Clock::time_point now = Clock::now();
     PublishedZone& before = published_[list.zone];
     const auto elapsed = std::chrono::duration_cast<discovery::Milliseconds>(now - before.at);
@@ -73,7 +73,7 @@
     callbacks_.changed(list);
 }
 
-std::vector<messages::ZoneListUpdate> ListOwners::zone_list_updates() const {
+std::vector<messages::ZoneListUpdate> EndpointListService::zone_list_updates() const {
     std::vector<messages::ZoneListUpdate> out;
     for (const auto& [zone, list] : catalogue_.zones())
         out.push_back({list});
--- a/src/system/control/list_owners.h
+++ b/src/system/control/endpoint_list_service.h
@@ -2,7 +2,7 @@
 // the platform, and everyone takes in the newest list. One thread.
 #pragma once
 
-#include "system/control/platform_reader.h"
+#include "system/control/platform_poller.h"
 #include "system/discovery/instances.h"
 #include "system/messages/messages.h"
 #include "system/ownership/ownership.h"
@@ -15,16 +15,16 @@
 
 namespace willowrill::control {
 
-class ListOwners {
+class EndpointListService {
   public:
     struct Callbacks {
         std::function<void(const messages::EndpointListMessage&)> broadcast; // to all other core members
         std::function<void(const discovery::ZoneList&)> changed;
     };
-    ListOwners(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
-               Callbacks callbacks);
+    EndpointListService(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
+                        Callbacks callbacks);
 
-    void tick() { reader_.tick(Clock::now()); }
+    void tick() { poller_.tick(Clock::now()); }
     // As the primary of this epoch, names the owners among these members and tells them.
     void assign(std::uint64_t epoch, const std::vector<std::string>& live);
     // Another member is the primary.
@@ -41,20 +41,21 @@
         Clock::time_point at;
     };
     void on(const messages::RoleAssignments& roles);
-    void on(const messages::ZoneListUpdate& update) { take_list(update.list); }
+    void on(const messages::ZoneListUpdate& update) { apply_list(update.list); }
     void on(const messages::ZoneListUnchanged& unchanged);
     void on_own_list(const discovery::ZoneList& list);
-    void take_list(const discovery::ZoneList& list);
+    void apply_list(const discovery::ZoneList& list);
 
     std::string self_;
     std::vector<std::string> zones_;
     Callbacks callbacks_;
     discovery::Catalogue catalogue_;
     std::map<std::string, PublishedZone> published_;
-    PlatformReader reader_;
-    std::optional<ownership::Assigner> assigner_;
+    PlatformPoller poller_;
+    std::optional<ownership::RoleAssigner> assigner_;
     std::uint64_t assigner_epoch_ = 0;
-    std::map<std::string, Clock::time_point> told_; // when a zone's whole list was last sent to the core
+    std::map<std::string, Clock::time_point>
+        list_sent_at_; // when a zone's whole list was last sent to the core
 };
 
 } // namespace willowrill::control
--- a/src/system/control/lease_gossip.cpp
+++ b/src/system/control/lease_replicator.cpp
@@ -1,4 +1,4 @@
-#include "system/control/lease_gossip.h"
+#include "system/control/lease_replicator.h"
 
 #include <utility>
 
@@ -11,24 +11,25 @@
 
 } // namespace
 
-LeaseGossip::LeaseGossip(std::uint64_t incarnation, Callbacks callbacks)
+LeaseReplicator::LeaseReplicator(std::uint64_t incarnation, Callbacks callbacks)
     : callbacks_(std::move(callbacks)), leases_(lease_duration), version_{incarnation, 0} {}
 
 // ---- Leases renewed here ---------------------------------------------------------------------------------
 
-messages::LeasesSnapshot LeaseGossip::snapshot() const {
+messages::LeasesSnapshot LeaseReplicator::snapshot() const {
     messages::LeasesSnapshot out{version_, {}};
     for (const auto& [node, lease] : renewed_here_)
         out.leases.push_back(lease);
     return out;
 }
 
-void LeaseGossip::publish_delta(const std::vector<Lease>& changed, const std::vector<std::string>& removed) {
+void LeaseReplicator::publish_delta(const std::vector<Lease>& changed,
+                                    const std::vector<std::string>& removed) {
     ++version_.number;
     callbacks_.broadcast(messages::LeasesDelta{version_, changed, removed});
 }
 
-void LeaseGossip::on_renewed(membership::Time now, const Lease& lease) {
+void LeaseReplicator::on_renewed(membership::Time now, const Lease& lease) {
     const bool view_changed = leases_.renew(now, lease, membership::Source::holder);
     const auto found = renewed_here_.find(lease.node);
     if (found == renewed_here_.end() && renewed_here_.size() >= membership::most_leases) return;
@@ -43,7 +44,7 @@
 }
 
 // The holder may have gone to another core member and renewed there: only time ends its lease.
-void LeaseGossip::on_disconnected(const Lease& lease) {
+void LeaseReplicator::on_disconnected(const Lease& lease) {
     const auto found = renewed_here_.find(lease.node);
     if (found == renewed_here_.end() || found->second.incarnation != lease.incarnation) return;
     renewed_here_.erase(found);
@@ -51,7 +52,7 @@
     removed_since_publish_.insert(lease.node);
 }
 
-void LeaseGossip::publish() {
+void LeaseReplicator::publish() {
     if (!removed_since_publish_.empty())
         publish_delta({}, {removed_since_publish_.begin(), removed_since_publish_.end()});
     removed_since_publish_.clear();
@@ -62,28 +63,28 @@
     callbacks_.broadcast(keep_alive);
 }
 
-void LeaseGossip::on_connected(const std::string& member) const { callbacks_.send(member, snapshot()); }
+void LeaseReplicator::on_connected(const std::string& member) const { callbacks_.send(member, snapshot()); }
 
-void LeaseGossip::expire(membership::Time now) {
+void LeaseReplicator::expire(membership::Time now) {
     if (leases_.expire(now)) on_changed();
 }
 
 // ---- Leases renewed at other members ---------------------------------------------------------------------
 
-void LeaseGossip::on_message(membership::Time now, const std::string& from,
-                             const messages::LeasesMessage& message) {
+void LeaseReplicator::on_message(membership::Time now, const std::string& from,
+                                 const messages::LeasesMessage& message) {
     std::visit([&](const auto& one) { on(now, from, one); }, message);
 }
 
-void LeaseGossip::on(membership::Time now, const std::string& from,
-                     const messages::LeasesSnapshot& snapshot) {
+void LeaseReplicator::on(membership::Time now, const std::string& from,
+                         const messages::LeasesSnapshot& snapshot) {
     PeerLeases& peer = peers_[from];
     const bool changed = apply_snapshot(now, peer, snapshot);
     peer.version = snapshot.version;
     if (changed) on_changed();
 }
 
-void LeaseGossip::on(membership::Time now, const std::string& from, const messages::LeasesDelta& delta) {
+void LeaseReplicator::on(membership::Time now, const std::string& from, const messages::LeasesDelta& delta) {
     PeerLeases& peer = peers_[from];
     const messages::LeaseListVersion next{peer.version.incarnation, peer.version.number + 1};
     if (delta.version != next) return request_snapshot(from, delta.version);
@@ -92,30 +93,30 @@
     if (changed) on_changed();
 }
 
-void LeaseGossip::on(membership::Time now, const std::string& from,
-                     const messages::LeasesKeepAlive& keep_alive) {
+void LeaseReplicator::on(membership::Time now, const std::string& from,
+                         const messages::LeasesKeepAlive& keep_alive) {
     const PeerLeases& peer = peers_[from];
     if (keep_alive.version == peer.version && apply_keep_alive(now, peer, keep_alive)) return;
     request_snapshot(from, keep_alive.version);
 }
 
-void LeaseGossip::on(membership::Time /*now*/, const std::string& from,
-                     const messages::LeasesSnapshotRequest&) {
+void LeaseReplicator::on(membership::Time /*now*/, const std::string& from,
+                         const messages::LeasesSnapshotRequest&) {
     callbacks_.send(from, snapshot());
 }
 
-void LeaseGossip::on(membership::Time /*now*/, const std::string& from,
-                     const messages::UnknownLeasesUpdate& update) {
+void LeaseReplicator::on(membership::Time /*now*/, const std::string& from,
+                         const messages::UnknownLeasesUpdate& update) {
     request_snapshot(from, update.version);
 }
 
-void LeaseGossip::request_snapshot(const std::string& from, const messages::LeaseListVersion& version) {
+void LeaseReplicator::request_snapshot(const std::string& from, const messages::LeaseListVersion& version) {
     const messages::LeaseListVersion& received = peers_[from].version;
     const bool outdated = version.incarnation == received.incarnation && version.number < received.number;
     if (!outdated) callbacks_.send(from, messages::LeasesSnapshotRequest{});
 }
 
-bool LeaseGossip::renew_all(membership::Time now, PeerLeases& peer, const std::vector<Lease>& leases) {
+bool LeaseReplicator::renew_all(membership::Time now, PeerLeases& peer, const std::vector<Lease>& leases) {
     bool changed = false;
     for (const Lease& lease : leases) {
         changed |= leases_.renew(now, lease, membership::Source::core_member);
@@ -125,20 +126,21 @@
     return changed;
 }
 
-bool LeaseGossip::apply_snapshot(membership::Time now, PeerLeases& peer,
-                                 const messages::LeasesSnapshot& snapshot) {
+bool LeaseReplicator::apply_snapshot(membership::Time now, PeerLeases& peer,
+                                     const messages::LeasesSnapshot& snapshot) {
     peer.incarnations.clear();
     return renew_all(now, peer, snapshot.leases);
 }
 
-bool LeaseGossip::apply_delta(membership::Time now, PeerLeases& peer, const messages::LeasesDelta& delta) {
+bool LeaseReplicator::apply_delta(membership::Time now, PeerLeases& peer,
+                                  const messages::LeasesDelta& delta) {
     for (const std::string& node : delta.removed)
         peer.incarnations.erase(node);
     return renew_all(now, peer, delta.changed);
 }
 
-bool LeaseGossip::apply_keep_alive(membership::Time now, const PeerLeases& peer,
-                                   const messages::LeasesKeepAlive& keep_alive) {
+bool LeaseReplicator::apply_keep_alive(membership::Time now, const PeerLeases& peer,
+                                       const messages::LeasesKeepAlive& keep_alive) {
     bool all_known = true;
     for (const auto& [node, incarnation] : peer.incarnations)
         if (!keep_alive.silent.contains(node)) all_known &= leases_.extend(now, node, incarnation);
--- a/src/system/control/lease_gossip.h
+++ b/src/system/control/lease_replicator.h
@@ -22,7 +22,7 @@
 
 namespace willowrill::control {
 
-class LeaseGossip {
+class LeaseReplicator {
   public:
     struct Callbacks {
         std::function<void(const messages::LeasesMessage&)> broadcast; // to all other core members
@@ -30,7 +30,7 @@
         std::function<void(const std::vector<membership::Lease>&)> changed;           // the leases known
     };
     // `incarnation`: drawn anew at each start of the process.
-    LeaseGossip(std::uint64_t incarnation, Callbacks callbacks);
+    LeaseReplicator(std::uint64_t incarnation, Callbacks callbacks);
 
     // A scheduler has renewed its lease here.
     void on_renewed(membership::Time now, const membership::Lease& lease);
--- a/src/system/control/platform_reader.cpp
+++ b/src/system/control/platform_poller.cpp
@@ -1,4 +1,4 @@
-#include "system/control/platform_reader.h"
+#include "system/control/platform_poller.h"
 
 #include <fmt/format.h>
 
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr std::chrono::milliseconds period{500};
-constexpr std::chrono::milliseconds pause_after_refusal{700};
+constexpr std::chrono::milliseconds backoff_after_rejection{700};
 constexpr std::chrono::milliseconds timeout{900};
-constexpr std::size_t most_pages = 200;
+constexpr std::size_t max_pages = 200;
 
 } // namespace
 
-PlatformReader::PlatformReader(asio::io_context& loop, settings::Endpoint platform, metrics::Metrics& metrics,
+PlatformPoller::PlatformPoller(asio::io_context& loop, settings::Endpoint platform, metrics::Metrics& metrics,
                                OnList on_list)
     : loop_(loop), platform_(std::move(platform)), metrics_(metrics), on_list_(std::move(on_list)) {}
 
-void PlatformReader::own(const std::string& zone, discovery::FencingToken token) {
+void PlatformPoller::start_polling(const std::string& zone, discovery::FencingToken token) {
     Zone& mine = zones_[zone];
     if (token <= mine.token && mine.client) return;
     mine.token = token;
@@ -27,14 +27,14 @@
         mine.client = std::make_shared<http_client::Client>(loop_, platform_.host, platform_.port);
 }
 
-void PlatformReader::yield(const std::string& zone, discovery::FencingToken token) {
+void PlatformPoller::stop_polling(const std::string& zone, discovery::FencingToken token) {
     const auto mine = zones_.find(zone);
     if (mine == zones_.end() || token <= mine->second.token) return;
     mine->second.client->close();
     zones_.erase(mine);
 }
 
-void PlatformReader::tick(std::chrono::steady_clock::time_point now) {
+void PlatformPoller::tick(std::chrono::steady_clock::time_point now) {
     for (auto& [name, zone] : zones_) {
         if (zone.client->busy() || now < zone.due) continue;
         zone.due = now + period;
@@ -44,21 +44,21 @@
     }
 }
 
-void PlatformReader::read_page(const std::string& zone, const std::string& page_token) {
+void PlatformPoller::read_page(const std::string& zone, const std::string& page_token) {
     std::string target = "/instances?zone=" + zone;
     if (!page_token.empty()) target += "&pageToken=" + page_token;
     zones_[zone].client->get(
         target, timeout, [this, zone](const http_client::Response* response) { on_page(zone, response); });
 }
 
-void PlatformReader::on_page(const std::string& name, const http_client::Response* response) {
+void PlatformPoller::on_page(const std::string& name, const http_client::Response* response) {
     metrics_.add(metrics::Total::platform_calls,
                  response == nullptr ? "none" : std::to_string(response->result_int()));
     const auto found = zones_.find(name);
     if (found == zones_.end()) return;
     Zone& zone = found->second;
     if (response == nullptr || response->result() != http::status::ok) {
-        if (response != nullptr) zone.due = std::chrono::steady_clock::now() + pause_after_refusal;
+        if (response != nullptr) zone.due = std::chrono::steady_clock::now() + backoff_after_rejection;
         return;
     }
     const auto page = discovery::parse_page(response->body());
@@ -69,7 +69,7 @@
     }
     for (const discovery::Instance& instance : page.value().instances)
         if (instance.zone == name) zone.read.push_back(instance);
-    if (page.value().next && ++zone.pages < most_pages) return read_page(name, *page.value().next);
+    if (page.value().next && ++zone.pages < max_pages) return read_page(name, *page.value().next);
     on_list_({name, zone.token, ++zone.serial, std::move(zone.read)});
 }
 
--- a/src/system/control/platform_reader.h
+++ b/src/system/control/platform_poller.h
@@ -15,16 +15,16 @@
 
 namespace willowrill::control {
 
-class PlatformReader {
+class PlatformPoller {
   public:
     using OnList = std::function<void(const discovery::ZoneList&)>;
-    PlatformReader(asio::io_context& loop, settings::Endpoint platform, metrics::Metrics& metrics,
+    PlatformPoller(asio::io_context& loop, settings::Endpoint platform, metrics::Metrics& metrics,
                    OnList on_list);
 
     // This member reads the zone from now on, until a newer token names another owner.
-    void own(const std::string& zone, discovery::FencingToken token);
+    void start_polling(const std::string& zone, discovery::FencingToken token);
     // Another owner has a newer token.
-    void yield(const std::string& zone, discovery::FencingToken token);
+    void stop_polling(const std::string& zone, discovery::FencingToken token);
     // Starts the readings that are due.
     void tick(std::chrono::steady_clock::time_point now);
 
--- a/src/system/control/disk.cpp
+++ b/src/system/control/replica_store.cpp
@@ -1,4 +1,4 @@
-#include "system/control/disk.h"
+#include "system/control/replica_store.h"
 
 #include "system/compression/compression.h"
 #include "system/configuration/control_state.h"
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr std::size_t slots = 3;
-constexpr std::size_t register_room = 16U << 10U;
+constexpr std::size_t register_capacity = 16U << 10U;
 // Of the position's line, and of zones evacuated on top of the largest configuration.
-constexpr std::size_t spare_room = 4096;
-constexpr std::size_t state_room = configuration::most_record_bytes + spare_room;
-constexpr std::size_t most_unpacked = configuration::most_state_bytes + spare_room;
+constexpr std::size_t spare_capacity = 4096;
+constexpr std::size_t state_capacity = configuration::most_record_bytes + spare_capacity;
+constexpr std::size_t max_unpacked = configuration::most_state_bytes + spare_capacity;
 
 template <class Decode>
 auto newest(const storage::RecordRing& ring, Decode decode)
@@ -45,26 +45,27 @@
 
 } // namespace
 
-errors::Result<std::unique_ptr<Disk>> Disk::open(const std::filesystem::path& folder) {
-    auto registers = storage::RecordRing::open(folder, "register", slots, register_room);
+errors::Result<std::unique_ptr<ReplicaStore>> ReplicaStore::open(const std::filesystem::path& folder) {
+    auto registers = storage::RecordRing::open(folder, "register", slots, register_capacity);
     if (!registers) return registers.error();
-    auto states = storage::RecordRing::open(folder, "state", slots, state_room);
+    auto states = storage::RecordRing::open(folder, "state", slots, state_capacity);
     if (!states) return states.error();
     report("register", registers.value());
     report("state", states.value());
-    return std::unique_ptr<Disk>(new Disk(std::move(registers.value()), std::move(states.value())));
+    return std::unique_ptr<ReplicaStore>(
+        new ReplicaStore(std::move(registers.value()), std::move(states.value())));
 }
 
-replication::Loaded Disk::load() const {
+replication::Loaded ReplicaStore::load() const {
     const auto unpacked_state = [](const std::string& record) {
-        const auto text = compression::unpack(record, most_unpacked);
+        const auto text = compression::unpack(record, max_unpacked);
         if (!text) throw std::runtime_error("a packed state is damaged");
         return replication::decode_state(*text);
     };
     return {newest(registers_, replication::decode_register), newest(states_, unpacked_state)};
 }
 
-bool Disk::save(const replication::Save& request) {
+bool ReplicaStore::save(const replication::Save& request) {
     if (failed_ && !request.restores) return false;
     const auto* value = std::get_if<replication::WitnessRegister>(&request.record);
     failed_ = value != nullptr ? !registers_.write(replication::encode_register(*value))
--- a/src/system/control/disk.h
+++ b/src/system/control/replica_store.h
@@ -11,9 +11,9 @@
 
 namespace willowrill::control {
 
-class Disk {
+class ReplicaStore {
   public:
-    static errors::Result<std::unique_ptr<Disk>> open(const std::filesystem::path& folder);
+    static errors::Result<std::unique_ptr<ReplicaStore>> open(const std::filesystem::path& folder);
 
     replication::Loaded load() const;
     // True once the record will survive a loss of power; otherwise its fate is unknown, and all are refused
@@ -21,7 +21,7 @@
     bool save(const replication::Save& request);
 
   private:
-    Disk(storage::RecordRing registers, storage::RecordRing states)
+    ReplicaStore(storage::RecordRing registers, storage::RecordRing states)
         : registers_(std::move(registers)), states_(std::move(states)) {}
 
     storage::RecordRing registers_;
--- a/src/system/control/disk_worker.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -1,4 +1,4 @@
-#include "system/control/disk_worker.h"
+#include "system/control/replica_store_thread.h"
 
 #include <fmt/format.h>
 
@@ -17,7 +17,7 @@
 } // namespace
 
 // What the thread and the loop have in common; outlives the worker where a call to the disk does not return.
-struct DiskWorker::Shared {
+struct ReplicaStoreThread::Shared {
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<replication::Save> requests; // bounded by the replica, which asks nothing of a silent disk
@@ -49,9 +49,9 @@
         return !changed.wait_for(lock, open_again, [this] { return loop == nullptr; });
     }
 
-    std::unique_ptr<Disk> open() {
+    std::unique_ptr<ReplicaStore> open() {
         for (std::string told;;) {
-            auto disk = Disk::open(folder);
+            auto disk = ReplicaStore::open(folder);
             if (disk) return std::move(disk.value());
             if (std::exchange(told, disk.error().detail) != disk.error().detail)
                 fmt::print(stderr, "level=error event=disk-unusable detail=\"{}\"\n", told);
@@ -60,7 +60,7 @@
     }
 
     static void run(const std::shared_ptr<Shared>& self) {
-        const std::unique_ptr<Disk> disk = self->folder.empty() ? nullptr : self->open();
+        const std::unique_ptr<ReplicaStore> disk = self->folder.empty() ? nullptr : self->open();
         if (!disk && !self->folder.empty()) return;
         self->tell(self, disk ? disk->load() : replication::Loaded{});
         while (const auto request = self->next()) {
@@ -72,7 +72,7 @@
     }
 };
 
-DiskWorker::DiskWorker(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event)
+ReplicaStoreThread::ReplicaStoreThread(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event)
     : shared_(std::make_shared<Shared>()) {
     shared_->loop = &loop;
     shared_->folder = std::move(folder);
@@ -80,14 +80,14 @@
     std::thread(Shared::run, shared_).detach();
 }
 
-DiskWorker::~DiskWorker() {
+ReplicaStoreThread::~ReplicaStoreThread() {
     const std::lock_guard lock(shared_->mutex);
     shared_->loop = nullptr;
     shared_->on_event = nullptr;
     shared_->changed.notify_all();
 }
 
-void DiskWorker::save(replication::Save request) {
+void ReplicaStoreThread::save(replication::Save request) {
     const std::lock_guard lock(shared_->mutex);
     shared_->requests.push_back(std::move(request));
     shared_->changed.notify_all();
--- a/src/system/control/disk_worker.h
+++ b/src/system/control/replica_store_thread.h
@@ -2,7 +2,7 @@
 // holds up nothing else. Answers come as events on the loop. All calls on the loop's thread.
 #pragma once
 
-#include "system/control/disk.h"
+#include "system/control/replica_store.h"
 #include "system/transport/asio.h"
 
 #include <filesystem>
@@ -11,17 +11,17 @@
 
 namespace willowrill::control {
 
-class DiskWorker {
+class ReplicaStoreThread {
   public:
     using OnEvent = std::function<void(replication::Event)>; // Loaded once, then Saved and SaveFailed
 
     // Opens and reads the folder, again and again until the disk lets it. An empty path: nothing is durable,
     // which only a deployment without disks should want.
-    DiskWorker(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event);
+    ReplicaStoreThread(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event);
     // Does not wait for the disk.
-    ~DiskWorker();
-    DiskWorker(const DiskWorker&) = delete;
-    DiskWorker& operator=(const DiskWorker&) = delete;
+    ~ReplicaStoreThread();
+    ReplicaStoreThread(const ReplicaStoreThread&) = delete;
+    ReplicaStoreThread& operator=(const ReplicaStoreThread&) = delete;
 
     void save(replication::Save request);
 
--- a/src/system/data/load_report_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -86,7 +86,7 @@
 void LoadReportExchange::arrange(const std::string& service) {
     const std::string& own_zone = context_.settings.zone;
     const std::set<std::string> shunned = avoided();
-    const auto order = distribution::homes(members_, service, own_zone, shunned);
+    const auto order = distribution::home_schedulers(members_, service, own_zone, shunned);
     const bool home = order.empty() || order.front().node == context_.settings.node_name;
     if (!home) {
         home_of_.erase(service);
@@ -104,7 +104,7 @@
     }
     for (const auto& [zone, region] : context_.settings.regions) {
         if (zone == own_zone) continue;
-        const auto others = distribution::homes(members_, service, zone, shunned);
+        const auto others = distribution::home_schedulers(members_, service, zone, shunned);
         if (!others.empty()) follow(fmt::format("{}@{}", service, zone), others.front(), service, Scope::own);
     }
 }
--- a/src/system/data/load_report_exchange.h
+++ b/src/system/data/load_report_exchange.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "system/data/context.h"
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 #include "system/http/client.h"
 #include "system/load_reports/load_report_delta.h"
 #include "system/transport/frame_connection.h"
--- a/src/system/distribution/core_session.cpp
+++ b/src/system/distribution/core_session.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr SteadyTime renewal_period{400};
-constexpr SteadyTime silence{1000}; // a member that answers nothing for so long is left
-constexpr SteadyTime behind{900};   // one that is not current for so long, too
+constexpr SteadyTime silence_timeout{1000}; // a member that answers nothing for so long is left
+constexpr SteadyTime behind_timeout{900};   // one that is not current for so long, too
 // A near member that was left is not moved to again for so long; only to be near is worth no risk.
-constexpr SteadyTime shortest_avoidance{5000};
-constexpr SteadyTime longest_avoidance{40000};
+constexpr SteadyTime min_back_off{5000};
+constexpr SteadyTime max_back_off{40000};
 
 } // namespace
 
@@ -25,9 +25,10 @@
 void CoreSession::change_phase(Phase next) { phase_ = next; }
 
 void CoreSession::on(const SessionTick&) {
-    if (phase_ == Phase::connected && (now_ - answered_ > silence || now_ - current_ > behind)) {
+    if (phase_ == Phase::connected &&
+        (now_ - answered_ > silence_timeout || now_ - current_ > behind_timeout)) {
         if (preferred_ == host_) preferred_.clear();
-        avoid(host_);
+        back_off(host_);
         actions_->emplace_back(Disconnect{});
         change_phase(Phase::idle);
     }
@@ -68,19 +69,19 @@
 
 void CoreSession::on(const DialFailed&) {
     if (phase_ != Phase::dialling) return;
-    avoid(host_);
+    back_off(host_);
     change_phase(Phase::idle);
 }
 
 int CoreSession::distance(const messages::CoreMember& member) const {
-    if (!place_.zone.empty() && member.zone == place_.zone) return 0;
-    return !place_.region.empty() && member.region == place_.region ? 1 : 2;
+    if (!location_.zone.empty() && member.zone == location_.zone) return 0;
+    return !location_.region.empty() && member.region == location_.region ? 1 : 2;
 }
 
-void CoreSession::avoid(const std::string& host) {
-    if (!avoided_.contains(host) && avoided_.size() >= messages::max_core_members) avoided_.clear();
-    Avoided& entry = avoided_[host];
-    entry.pause = std::clamp(2 * entry.pause, shortest_avoidance, longest_avoidance);
+void CoreSession::back_off(const std::string& host) {
+    if (!backed_off_.contains(host) && backed_off_.size() >= messages::max_core_members) backed_off_.clear();
+    BackOff& entry = backed_off_[host];
+    entry.pause = std::clamp(2 * entry.pause, min_back_off, max_back_off);
     entry.until = now_ + entry.pause;
 }
 
@@ -90,8 +91,8 @@
     int best_distance = here == known_.end() ? 2 : distance(here->second);
     std::string best;
     for (const auto& [host, member] : known_) {
-        const auto entry = avoided_.find(host);
-        if (entry != avoided_.end() && now_ < entry->second.until) continue;
+        const auto entry = backed_off_.find(host);
+        if (entry != backed_off_.end() && now_ < entry->second.until) continue;
         if (distance(member) >= best_distance) continue;
         best_distance = distance(member);
         best = host;
--- a/src/system/distribution/core_session.h
+++ b/src/system/distribution/core_session.h
@@ -1,6 +1,6 @@
-// A scheduler's session with the core: renews its lease at one core member and takes in what that pushes.
-// Goes to another where the member falls silent or behind, and to a nearer one where there is one. Pure:
-// connections and time come from outside.
+// A scheduler's session with the core: renews its lease at one core member, and hands on what that member
+// sends. Leaves a member that is silent or not current, and moves to a nearer one where there is one. Pure:
+// connections and time come from outside; one thread.
 #pragma once
 
 #include "system/messages/messages.h"
@@ -26,7 +26,7 @@
 struct MessageReceived {
     messages::CoreUpdate message;
 };
-// What the lease says has changed: the core is to know at once.
+// The content of the lease has changed: it is renewed at once.
 struct LeaseChanged {};
 using SessionEvent =
     std::variant<SessionTick, DialSucceeded, DialFailed, ConnectionLost, MessageReceived, LeaseChanged>;
@@ -49,14 +49,14 @@
 
 class CoreSession {
   public:
-    // Where this scheduler stands.
-    struct Place {
+    // Of this scheduler.
+    struct Location {
         std::string zone;
         std::string region;
     };
     // `seeds`: hosts of core members as the settings name them now; asked only when one is looked for.
-    explicit CoreSession(std::function<std::vector<std::string>()> seeds, Place place = {})
-        : seeds_(std::move(seeds)), place_(std::move(place)) {}
+    explicit CoreSession(std::function<std::vector<std::string>()> seeds, Location location = {})
+        : seeds_(std::move(seeds)), location_(std::move(location)) {}
 
     void step(SteadyTime now, const SessionEvent& event, std::vector<SessionAction>& actions);
     bool connected() const { return phase_ == Phase::connected; }
@@ -74,20 +74,20 @@
     void dial_next();
     void renew();
     void on_lease_ack(const messages::LeaseAck& ack);
-    void avoid(const std::string& host);
+    void back_off(const std::string& host);
     void move_nearer();
     // Of a member from here: 0 in this zone, 1 in this region, 2 elsewhere or not known.
     int distance(const messages::CoreMember& member) const;
     std::vector<std::string> candidates() const;
 
     // A member that was left or could not be reached, and is not moved to for a while.
-    struct Avoided {
+    struct BackOff {
         SteadyTime until{0};
         SteadyTime pause{0}; // doubles with each time
     };
 
     std::function<std::vector<std::string>()> seeds_;
-    Place place_;
+    Location location_;
     SteadyTime now_{0};
     std::vector<SessionAction>* actions_ = nullptr;
 
@@ -96,7 +96,7 @@
     std::string preferred_;                             // the one that was current last
     std::map<std::string, messages::CoreMember> known_; // by host, as the last current one named them; at
                                                         // most `max_core_members`
-    std::map<std::string, Avoided> avoided_;            // by host; at most `max_core_members`
+    std::map<std::string, BackOff> backed_off_;         // by host; at most `max_core_members`
     std::size_t next_candidate_ = 0;
     SteadyTime renewed_{0}, answered_{0}, current_{0};
     std::uint64_t renewal_ = 0;
--- a/src/system/distribution/homes.cpp
+++ b/src/system/distribution/home_schedulers.cpp
@@ -1,4 +1,4 @@
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 
 #include "system/ownership/ownership.h"
 
@@ -7,15 +7,15 @@
 
 namespace willowrill::distribution {
 
-std::vector<membership::Lease> homes(const std::vector<membership::Lease>& members,
-                                     const std::string& service, const std::string& zone,
-                                     const std::set<std::string>& avoided) {
+std::vector<membership::Lease> home_schedulers(const std::vector<membership::Lease>& members,
+                                               const std::string& service, const std::string& zone,
+                                               const std::set<std::string>& backed_off) {
     std::vector<membership::Lease> out;
     for (const membership::Lease& member : members)
         if (member.zone == zone && member.phase != membership::Phase::leaving) out.push_back(member);
     std::ranges::sort(out, {}, [&](const membership::Lease& member) {
         const std::uint64_t weight = ownership::rendezvous_weight(service, member.node);
-        return std::tuple(avoided.contains(member.node), ~weight, member.node);
+        return std::tuple(backed_off.contains(member.node), ~weight, member.node);
     });
     return out;
 }
--- a/src/system/distribution/scheduler_hub.h
+++ b/src/system/distribution/scheduler_sessions.h
@@ -1,8 +1,10 @@
-// The schedulers' sessions at a core member: takes their leases in and pushes what they need to know
-// (configuration, evacuations, members, workers) whenever it changes: the change alone to those that hold
-// what it is based on, the whole to the others. To one that knows nothing the state is handed only while a
-// quorum vouches for it, so that a member which is cut off gives an old one to nobody; one that holds an
-// older state gets a newer one from any member. Pure; one thread.
+// The schedulers' sessions at a core member: takes in the renewals of their leases, and sends them what they
+// need to know (configuration, evacuations, members, endpoint lists) whenever it changes. A delta goes to
+// those that have its base, a snapshot to the others.
+//
+// A scheduler without a state is sent one only while a quorum vouches for it, so that a core member that is
+// cut off lets nobody begin with an old one. A scheduler with an older state is sent a newer one by any
+// member. Pure; one thread.
 #pragma once
 
 #include "system/configuration/control_state.h"
@@ -24,7 +26,7 @@
 using SessionId = std::uint64_t; // of one connection; not used again
 using transport::Frame;
 
-class SchedulerHub {
+class SchedulerSessions {
   public:
     struct Callbacks {
         std::function<void(SessionId, const Frame&)> send;
@@ -34,14 +36,14 @@
         std::function<void(const membership::Lease&)> renewed;   // by its holder, here
         std::function<void(const membership::Lease&)> ended;     // the holder's connection broke
     };
-    explicit SchedulerHub(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
+    explicit SchedulerSessions(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
 
     void adopt(SessionId id);
     void on_message(SessionId id, const messages::SchedulerMessage& message);
     void on_closed(SessionId id);
 
     void publish_state(const replication::Position& position, const configuration::ControlState& state);
-    // Told to the sessions by the next `flush`, so that changes of one moment go out as one.
+    // Sent to the sessions by the next `flush`, so that changes of one moment go out as one.
     void publish_members(const std::vector<membership::Lease>& leases);
     void flush();
     void publish_zone(const discovery::ZoneList& list);
@@ -51,9 +53,9 @@
   private:
     struct Session {
         std::optional<membership::Lease> lease;
-        std::optional<replication::Position> holds; // as its last renewal said
-        std::optional<replication::Position> sent;  // the newest state that went out on this session
-        bool lacks_base = false;                    // wants the state whole
+        std::optional<replication::Position> active_position; // as its last renewal said
+        std::optional<replication::Position> sent; // the newest state that went out on this session
+        bool needs_snapshot = false;               // has not got the base of a delta
     };
     void push(const Frame& frame) const;
     void send_state(SessionId id, Session& session) const;
@@ -66,10 +68,10 @@
     configuration::ControlState state_;     // the newest
     replication::Position position_;        // its own, and that of the one before
     replication::Position base_;
-    Frame whole_state_, state_change_;                                       // null: there is none
-    std::map<std::string, membership::Lease> wanted_members_, told_members_; // by node
-    std::uint64_t members_number_ = 0;                                       // of the list last told
-    Frame members_;                                                          // that list whole
+    Frame state_snapshot_, state_delta_;                                           // null: there is none
+    std::map<std::string, membership::Lease> current_members_, published_members_; // by node
+    std::uint64_t published_number_ = 0; // of the list last published
+    Frame members_snapshot_;             // that list whole
     std::map<std::string, Frame> zones_;
 };
 
--- a/src/system/ownership/ownership.cpp
+++ b/src/system/ownership/ownership.cpp
@@ -27,31 +27,31 @@
     return out;
 }
 
-void Assigner::seen(const std::string& key, FencingToken token, Time now) {
-    const auto held = held_.find(key);
-    if (held != held_.end() && held->second.assignment.token == token) held->second.seen = now;
+void RoleAssigner::on_work_seen(const std::string& key, FencingToken token, Time now) {
+    const auto role = roles_.find(key);
+    if (role != roles_.end() && role->second.assignment.token == token) role->second.seen = now;
 }
 
-std::vector<Assignment> Assigner::assign(const std::vector<std::string>& keys,
-                                         const std::vector<std::string>& live, Time now) {
-    constexpr Time forgive{5000};
+std::vector<Assignment> RoleAssigner::assign(const std::vector<std::string>& keys,
+                                             const std::vector<std::string>& live, Time now) {
+    constexpr Time failure_memory{5000};
     std::vector<Assignment> out;
     for (const std::string& key : keys) {
-        Held& held = held_[key];
-        std::erase_if(held.failed, [&](const auto& item) { return now - item.second > forgive; });
-        Assignment& current = held.assignment;
+        Role& role = roles_[key];
+        std::erase_if(role.failed, [&](const auto& item) { return now - item.second > failure_memory; });
+        Assignment& current = role.assignment;
         const bool lives = std::ranges::count(live, current.owner) > 0;
-        const bool works = now - held.seen <= patience_;
+        const bool works = now - role.seen <= timeout_;
         if (!lives || !works) {
-            if (lives) held.failed[current.owner] = now;
+            if (lives) role.failed[current.owner] = now;
             std::vector<std::string> able;
             for (const std::string& name : live)
-                if (!held.failed.contains(name)) able.push_back(name);
-            if (able.empty()) held.failed.clear();
+                if (!role.failed.contains(name)) able.push_back(name);
+            if (able.empty()) role.failed.clear();
             const auto order = rendezvous_order(key, able.empty() ? live : able);
             if (order.empty()) continue;
             current = {key, order.front(), {epoch_, ++number_}};
-            held.seen = now; // it has its patience from now on
+            role.seen = now; // it has its timeout from now on
         }
         out.push_back(current);
     }
--- a/src/system/ownership/ownership.h
+++ b/src/system/ownership/ownership.h
@@ -30,27 +30,27 @@
 std::vector<std::string> rendezvous_order(std::string_view key, const std::vector<std::string>& candidates);
 
 // Run by the primary of an epoch; made anew for each epoch.
-class Assigner {
+class RoleAssigner {
   public:
-    Assigner(std::uint64_t epoch, Time patience) : epoch_(epoch), patience_(patience) {}
+    RoleAssigner(std::uint64_t epoch, Time timeout) : epoch_(epoch), timeout_(timeout) {}
 
     // The owner's work under this token has been seen.
-    void seen(const std::string& key, FencingToken token, Time now);
+    void on_work_seen(const std::string& key, FencingToken token, Time now);
     // Assigns what has no live owner, or one that shows no work. `preferred`: taken for the key if it is
     // live.
     std::vector<Assignment> assign(const std::vector<std::string>& keys, const std::vector<std::string>& live,
                                    Time now);
 
   private:
-    struct Held {
+    struct Role {
         Assignment assignment;
         Time seen{0};
         std::map<std::string, Time> failed; // candidates that showed no work, and when
     };
     std::uint64_t epoch_;
     std::uint64_t number_ = 0;
-    Time patience_;
-    std::map<std::string, Held> held_; // bounded by the number of zones
+    Time timeout_;
+    std::map<std::string, Role> roles_; // bounded by the number of zones
 };
 
 } // namespace willowrill::ownership
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -44,7 +44,7 @@
     }
     replica_ = std::make_unique<Replica>(options);
     orders_ = std::make_unique<control::OrderQueue>([this](Event event) { feed(std::move(event)); });
-    hub_ = std::make_unique<distribution::SchedulerHub>(distribution::SchedulerHub::Callbacks{
+    hub_ = std::make_unique<distribution::SchedulerSessions>(distribution::SchedulerSessions::Callbacks{
         [this](distribution::SessionId session, const transport::Frame& frame) {
             const auto found = schedulers_.find(session);
             if (found != schedulers_.end()) found->second.send(transport::message_in(frame));
--- a/src/system/simulation/member.h
+++ b/src/system/simulation/member.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "system/control/order_queue.h"
-#include "system/distribution/scheduler_hub.h"
+#include "system/distribution/scheduler_sessions.h"
 #include "system/replication/replica.h"
 #include "system/simulation/disk.h"
 #include "system/simulation/history.h"
@@ -98,7 +98,7 @@
     bool initial_start_;
     std::unique_ptr<replication::Replica> replica_;
     std::unique_ptr<control::OrderQueue> orders_;
-    std::unique_ptr<distribution::SchedulerHub> hub_;
+    std::unique_ptr<distribution::SchedulerSessions> hub_;
     std::vector<std::unique_ptr<control::OrderQueue>> past_orders_; // may still be inside a call
     std::deque<replication::Event> events_;
     bool feeding_ = false;
--- a/src/system/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -34,7 +34,7 @@
     // Each member stands in a zone of its own, named as its host; some schedulers' zones have none.
     const auto own = static_cast<std::size_t>(node_) % (world_.seeds.size() + 1);
     const std::string zone = own < world_.seeds.size() ? host_of(world_.seeds[own]) : "elsewhere";
-    session_.emplace(hosts, distribution::CoreSession::Place{zone, "region"});
+    session_.emplace(hosts, distribution::CoreSession::Location{zone, "region"});
     tick(life_);
 }
 
--- a/tests/system/distribution/session_test.cpp
+++ b/tests/system/distribution/session_test.cpp
@@ -1,7 +1,7 @@
 // The sessions of schedulers with the core: what a member hands out, and when a scheduler goes to another.
 #include "system/distribution/core_session.h"
 #include "system/distribution/member_view.h"
-#include "system/distribution/scheduler_hub.h"
+#include "system/distribution/scheduler_sessions.h"
 #include "system/distribution/state_update.h"
 #include "system/messages/codec.h"
 
@@ -25,7 +25,7 @@
     bool current = true;
     std::map<SessionId, std::vector<json>> sent;
     std::vector<SessionId> closed;
-    SchedulerHub hub{
+    SchedulerSessions hub{
         {[this](SessionId id, const Frame& frame) { sent[id].push_back(transport::message_in(frame)); },
          [this](SessionId id) { closed.push_back(id); }, [this] { return current; },
          [] {
--- a/tests/system/membership/membership_test.cpp
+++ b/tests/system/membership/membership_test.cpp
@@ -1,6 +1,6 @@
 // Leases, owners under tokens, lists of workers, the directory, and the queue of orders.
 #include "system/control/directory.h"
-#include "system/control/lease_gossip.h"
+#include "system/control/lease_replicator.h"
 #include "system/control/order_queue.h"
 #include "system/discovery/codec.h"
 #include "system/membership/codec.h"
@@ -81,7 +81,7 @@
 
 // Core members whose messages arrive in their order, unless they are lost.
 struct GossipingMembers {
-    std::map<std::string, std::unique_ptr<control::LeaseGossip>> members;
+    std::map<std::string, std::unique_ptr<control::LeaseReplicator>> members;
     std::set<std::string> cut; // nothing reaches these, nor comes from them
     Time now{0};
     std::size_t bytes = 0;
@@ -92,7 +92,7 @@
         members.at(to)->on_message(now, from, message);
     }
     void add(const std::string& name, std::uint64_t life) {
-        control::LeaseGossip::Callbacks callbacks;
+        control::LeaseReplicator::Callbacks callbacks;
         callbacks.broadcast = [this, name](const messages::LeasesMessage& message) {
             for (const auto& [other, member] : members)
                 if (other != name) deliver(name, other, message);
@@ -101,7 +101,7 @@
             deliver(name, to, message);
         };
         callbacks.changed = [](const std::vector<Lease>&) {};
-        members[name] = std::make_unique<control::LeaseGossip>(life, callbacks);
+        members[name] = std::make_unique<control::LeaseReplicator>(life, callbacks);
     }
     void at(int ms) {
         now = Time(ms);
@@ -244,21 +244,21 @@
 }
 
 Test(ownership, an_owner_that_shows_no_work_is_taken_over_under_a_higher_token) {
-    ownership::Assigner assigner(7, Time(1600));
+    ownership::RoleAssigner assigner(7, Time(1600));
     const std::vector<std::string> live{"a", "b", "c"};
     const auto first = assigner.assign({"zone"}, live, Time(0))[0];
     cr_assert_eq(first.token.epoch, 7U);
-    assigner.seen("zone", first.token, Time(1000));
+    assigner.on_work_seen("zone", first.token, Time(1000));
     cr_assert(assigner.assign({"zone"}, live, Time(2600))[0] == first);
     const auto second = assigner.assign({"zone"}, live, Time(2601))[0];
     expect_other_text(second.owner.c_str(), first.owner.c_str());
     cr_assert(second.token > first.token);
-    assigner.seen("zone", first.token, Time(4000)); // the old one wakes up
+    assigner.on_work_seen("zone", first.token, Time(4000)); // the old one wakes up
     const auto third = assigner.assign({"zone"}, live, Time(4300))[0];
     cr_assert(third.token > second.token);
     const auto gone = assigner.assign({"zone"}, {"a"}, Time(4400))[0];
     expect_text(gone.owner.c_str(), "a");
-    cr_assert(ownership::Assigner(8, Time(1600)).assign({"zone"}, live, Time(0))[0].token > gone.token);
+    cr_assert(ownership::RoleAssigner(8, Time(1600)).assign({"zone"}, live, Time(0))[0].token > gone.token);
 }
 
 Test(catalogue, what_was_read_under_an_old_token_is_not_taken) {
--- a/tests/system/routing/routing_test.cpp
+++ b/tests/system/routing/routing_test.cpp
@@ -1,5 +1,5 @@
 // The choice of a worker, against a plain reading of the rule, and homes of readings.
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 #include "system/routing/selector.h"
 
 #include "support/expect.h"
@@ -312,9 +312,9 @@
 Test(homes, one_for_all_in_the_zone_and_another_when_it_is_silent) {
     const std::vector<membership::Lease> members{member("a", "z1", "r"), member("b", "z1", "r"),
                                                  member("c", "z1", "r"), member("d", "z2", "r")};
-    const auto order = distribution::homes(members, "s", "z1", {});
+    const auto order = distribution::home_schedulers(members, "s", "z1", {});
     cr_assert_eq(order.size(), 3U);
-    const auto round = distribution::homes(members, "s", "z1", {order[0].node});
+    const auto round = distribution::home_schedulers(members, "s", "z1", {order[0].node});
     expect_text(round[0].node.c_str(), order[1].node.c_str());
     expect_text(round[2].node.c_str(), order[0].node.c_str());
 }
--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -1,7 +1,7 @@
 // The ring of records: what is read after a tear at any byte, and what is told apart.
 #include "system/compression/compression.h"
 #include "system/configuration/control_state.h"
-#include "system/control/disk.h"
+#include "system/control/replica_store.h"
 #include "system/storage/record_ring.h"
 
 #include "support/expect.h"
@@ -194,8 +194,8 @@
 
 namespace {
 
-std::unique_ptr<willowrill::control::Disk> open_disk(const Folder& folder) {
-    auto disk = willowrill::control::Disk::open(folder.path());
+std::unique_ptr<willowrill::control::ReplicaStore> open_disk(const Folder& folder) {
+    auto disk = willowrill::control::ReplicaStore::open(folder.path());
     cr_assert(static_cast<bool>(disk));
     return std::move(disk.value());
 }
