--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -2,43 +2,23 @@
 
 #include "common/identity/random_identity.h"
 
-#include "system/control/directory.h"
-#include "system/messages/codec.h"
-
-#include <fmt/format.h>
+#include "system/logging/log.h"
 
 #include <utility>
 
 namespace willowrill::control {
 namespace {
 
-using errors::ErrorKind;
-using nlohmann::json;
-
 constexpr std::chrono::milliseconds tick_period{50};
-constexpr std::uint64_t ticks_between_dials = 2;
-constexpr std::uint64_t ticks_between_gossip = 14;
-constexpr std::uint64_t gossips_between_cores = 8;
-constexpr std::uint64_t ticks_between_assignments = 5;
-constexpr std::chrono::milliseconds shortest_leave{900}; // so that schedulers hear of it
-constexpr std::chrono::milliseconds grace_margin{
-    1000}; // the process ends this long before the platform ends it
-constexpr int resolution_ttl_s = 1;
-constexpr std::size_t max_unidentified = 256;
-
-std::string query_value(std::string_view target, std::string_view key) {
-    const std::size_t mark = target.find('?');
-    if (mark == std::string_view::npos) return {};
-    std::string_view rest = target.substr(mark + 1);
-    while (!rest.empty()) {
-        const std::string_view item = rest.substr(0, rest.find('&'));
-        rest.remove_prefix(std::min(rest.size(), item.size() + 1));
-        const std::size_t equals = item.find('=');
-        if (equals != std::string_view::npos && item.substr(0, equals) == key)
-            return std::string(item.substr(equals + 1));
-    }
-    return {};
-}
+// Each a multiple of the tick's.
+constexpr std::chrono::milliseconds dial_period{100};
+constexpr std::chrono::milliseconds assignment_period{250};
+constexpr std::chrono::milliseconds lease_publish_period{700};
+constexpr std::chrono::milliseconds announcement_period = 8 * lease_publish_period;
+// A shutdown takes at least so long, so that schedulers hear of it.
+constexpr std::chrono::milliseconds min_shutdown{900};
+// The process ends so long before the platform would end it.
+constexpr std::chrono::milliseconds grace_margin{1000};
 
 std::set<std::string> zones_of(const settings::Settings& settings) {
     std::set<std::string> out;
@@ -71,9 +51,7 @@
       lists_(loop, settings_, metrics_,
              {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
               [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
-      timer_(loop),
-      listener_(loop, settings_.address, settings_.first_internal_port,
-                [this](const transport::FrameConnectionPtr& connection) { accept(connection); }),
+      timer_(loop), acceptor_(loop, settings_.address, settings_.first_internal_port, *this),
       operator_api_(node_, self_, zones_of(settings_), metrics_),
       control_server_(loop, settings_.control.host, settings_.control.port, {},
                       [this](const http_server::Request& request, const http_server::Respond& respond) {
@@ -81,11 +59,7 @@
                       }),
       metrics_server_(loop, settings_.address, metrics_port, metrics_, [this] { refresh_levels(); }) {
     if (settings_.directory.port != 0)
-        directory_server_.emplace(
-            loop, settings_.directory.host, settings_.directory.port, http_server::Options{},
-            [this](const http_server::Request& request, const http_server::Respond& respond) {
-                on_directory(request, respond);
-            });
+        directory_.emplace(loop, settings_.directory, [this] { return leases_.leases(); });
     member_locations_[self_] = {self_, settings_.zone, settings_.region};
     discover_peers();
     tick();
@@ -164,28 +138,32 @@
 void ControlPlane::reload_settings() {
     auto again = settings::load(settings_path_);
     if (!again) {
-        fmt::print(stderr, "level=warning event=settings-unreadable detail=\"{}\"\n", again.error().detail);
+        logging::warning("settings-unreadable").text("detail", again.error().detail);
         return;
     }
     settings_.seeds = again.value().seeds;
     discover_peers();
 }
 
+bool ControlPlane::is_due(std::chrono::milliseconds period) const {
+    return nominal_uptime_ % period == std::chrono::milliseconds::zero();
+}
+
 void ControlPlane::tick() {
-    ++ticks_;
+    nominal_uptime_ += tick_period;
     node_.tick();
     lists_.tick();
     leases_.expire(steady_now());
     sessions_.flush();
-    if (ticks_ % ticks_between_dials == 0) {
+    if (is_due(dial_period)) {
         discover_peers();
         mesh_.maintain();
     }
-    if (ticks_ % ticks_between_gossip == 0) {
+    if (is_due(lease_publish_period)) {
         leases_.publish();
         announce_peers();
     }
-    if (ticks_ % ticks_between_assignments == 0) assign_lists();
+    if (is_due(assignment_period)) assign_lists();
     end_if_possible();
     timer_.expires_after(tick_period);
     timer_.async_wait([this](ErrorCode error) {
@@ -193,11 +171,10 @@
     });
 }
 
-// Whom this member reaches: at a change, and now and then for those that missed it.
+// At a change, and periodically for members that missed one.
 void ControlPlane::announce_peers() {
     auto connected = mesh_.connected();
-    const bool due = ticks_ % (ticks_between_gossip * gossips_between_cores) == 0;
-    if (connected == announced_peers_ && !due) return;
+    if (connected == announced_peers_ && !is_due(announcement_period)) return;
     mesh_.broadcast(messages::CorePeers{connected});
     announced_peers_ = std::move(connected);
 }
@@ -211,61 +188,47 @@
     if (state.version > 0) sessions_.publish_state(position, state);
 }
 
-// ---- The end ---------------------------------------------------------------------------------------------
+// ---- Shutdown ---------------------------------------------------------------------------------------------
 
 void ControlPlane::leave() {
-    if (left_at_) return;
-    left_at_ = Clock::now();
+    if (shutdown_began_) return;
+    shutdown_began_ = Clock::now();
     node_.feed(replication::BeginShutdown{});
 }
 
 void ControlPlane::end_if_possible() {
-    if (!left_at_) return;
-    const auto since = Clock::now() - *left_at_;
-    const bool done = since >= shortest_leave && node_.may_end();
+    if (!shutdown_began_) return;
+    const auto since = Clock::now() - *shutdown_began_;
+    const bool done = since >= min_shutdown && node_.may_end();
     if (!done && since < settings_.timers.grace - grace_margin) return;
-    fmt::print(stderr, "level=info event=ended member={} others_do_without={}\n", self_, done);
+    logging::info("ended").field("member", self_).field("others_do_without", done);
     loop_.stop();
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-void ControlPlane::accept(const transport::FrameConnectionPtr& connection) {
-    if (unidentified_.size() >= max_unidentified) return connection->close();
-    unidentified_.insert(connection);
-    auto member = std::make_shared<std::optional<MemberId>>(); // who it said it is
-    auto session = std::make_shared<std::optional<distribution::SessionId>>();
-    const auto on_message = [this, connection = std::weak_ptr(connection), member,
-                             session](const json& message) {
-        const auto self = connection.lock();
-        if (!self) return;
-        if (*session) return sessions_.on_message(**session, messages::decode_scheduler_message(message));
-        if (*member) return on_core_message(**member, messages::decode_core_message(message));
-        unidentified_.erase(self);
-        const auto hello = messages::decode_hello(message);
-        if (!hello) return self->close();
-        if (const auto* core = std::get_if<messages::CoreHello>(&*hello)) {
-            if (!mesh_.add_peer(core->member.id)) return self->close();
-            member_locations_[core->member.id] = core->member; // bounded, as the mesh is
-            *member = core->member.id;
-        } else {
-            *session = ++last_session_;
-            adopt_scheduler(self, **session);
-        }
-    };
-    connection->start(on_message, [this, connection = std::weak_ptr(connection), session] {
-        if (const auto self = connection.lock()) unidentified_.erase(self);
-        if (!*session) return;
-        sessions_.on_closed(**session);
-        schedulers_.erase(**session);
-    });
+bool ControlPlane::on_core_member(const messages::CoreMember& member) {
+    if (!mesh_.add_peer(member.id)) return false;
+    member_locations_[member.id] = member; // bounded, as the mesh is
+    return true;
 }
 
-void ControlPlane::adopt_scheduler(const transport::FrameConnectionPtr& connection,
-                                   distribution::SessionId id) {
+distribution::SessionId ControlPlane::on_scheduler(const transport::FrameConnectionPtr& connection) {
+    const distribution::SessionId id = ++last_session_;
     schedulers_[id] = connection;
     connection->count_into(counter("scheduler", metrics::Crossing::unknown));
     sessions_.adopt(id);
+    return id;
+}
+
+void ControlPlane::on_scheduler_message(distribution::SessionId id,
+                                        const messages::SchedulerMessage& message) {
+    sessions_.on_message(id, message);
+}
+
+void ControlPlane::on_scheduler_closed(distribution::SessionId id) {
+    sessions_.on_closed(id);
+    schedulers_.erase(id);
 }
 
 void ControlPlane::on_peer_connected(const MemberId& member) {
@@ -298,19 +261,4 @@
     lists_.on_message(message);
 }
 
-// ---- The directory ---------------------------------------------------------------------------------------
-
-void ControlPlane::on_directory(const http_server::Request& request,
-                                const http_server::Respond& respond) const {
-    const std::string target(request.target());
-    if (!target.starts_with("/-/resolution"))
-        return respond(http_server::error_response(request, {ErrorKind::unknown_resource, target}));
-    const auto addresses =
-        resolve(leases_.leases(), query_value(target, "region"), query_value(target, "zone"));
-    if (addresses.empty())
-        return respond(http_server::error_response(request, {ErrorKind::not_ready, "no scheduler is ready"}));
-    const json body{{"addresses", addresses}, {"ttlS", resolution_ttl_s}};
-    respond(http_server::json_response(request, 200, body.dump()));
-}
-
 } // namespace willowrill::control
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -1,9 +1,12 @@
-// One process of the control plane: wires the core member, the operators' interface, leases, the platform's
-// list and the directory to sockets and timers. Everything but the disk runs on the one thread of the loop.
+// One process of the control plane: connects the core member, the operators' interface, leases, endpoint
+// lists and the directory with sockets and timers. Only the replica store has a thread of its own; all else
+// runs on the loop's.
 #pragma once
 
+#include "system/control/connection_acceptor.h"
 #include "system/control/core_mesh.h"
 #include "system/control/core_node.h"
+#include "system/control/directory_service.h"
 #include "system/control/endpoint_list_service.h"
 #include "system/control/lease_replicator.h"
 #include "system/control/operator_api.h"
@@ -13,14 +16,13 @@
 #include "system/settings/settings.h"
 #include "system/transport/frame_connection.h"
 
+#include <chrono>
 #include <map>
-#include <memory>
 #include <optional>
-#include <set>
 
 namespace willowrill::control {
 
-class ControlPlane {
+class ControlPlane : private ConnectionAcceptor::Handler {
   public:
     // `settings_path` is read again whenever seeds are needed, as they may change without a signal.
     // `metrics_port`: 0 where figures are not served.
@@ -42,9 +44,16 @@
     void discover_peers();
     std::vector<MemberId> reached() const;
     std::vector<messages::CoreMember> reached_members() const;
-    void accept(const transport::FrameConnectionPtr& connection);
-    void adopt_scheduler(const transport::FrameConnectionPtr& connection, distribution::SessionId id);
-    void on_core_message(const MemberId& from, const messages::CoreMessage& message);
+    // Whether a tick that comes with this period, a multiple of its own, is due now.
+    bool is_due(std::chrono::milliseconds period) const;
+
+    // ConnectionAcceptor::Handler
+    bool on_core_member(const messages::CoreMember& member) override;
+    void on_core_message(const MemberId& from, const messages::CoreMessage& message) override;
+    distribution::SessionId on_scheduler(const transport::FrameConnectionPtr& connection) override;
+    void on_scheduler_message(distribution::SessionId id, const messages::SchedulerMessage& message) override;
+    void on_scheduler_closed(distribution::SessionId id) override;
+
     void on(const MemberId& from, const messages::UnknownMessage&) const;
     void on(const MemberId& from, const messages::ReplicationEnvelope& envelope);
     void on(const MemberId& from, const messages::CorePeers& peers);
@@ -52,7 +61,6 @@
     void on(const MemberId& from, const messages::EndpointListMessage& message);
     void on_peer_connected(const MemberId& member);
     void on_state(const replication::Position& position, const configuration::ControlState& state);
-    void on_directory(const http_server::Request& request, const http_server::Respond& respond) const;
     CoreMesh::Callbacks mesh_callbacks();
     distribution::SchedulerSessions::Callbacks session_callbacks();
 
@@ -73,14 +81,13 @@
     LeaseReplicator leases_;
     std::vector<MemberId> announced_peers_;
     EndpointListService lists_;
-    std::set<transport::FrameConnectionPtr> unidentified_; // accepted, and have not said who they are
     SteadyTimer timer_;
-    std::uint64_t ticks_ = 0;
-    std::optional<Clock::time_point> left_at_;
-    transport::FrameListener listener_;
+    std::chrono::milliseconds nominal_uptime_{0}; // ticks so far, as if none had been late
+    std::optional<Clock::time_point> shutdown_began_;
+    ConnectionAcceptor acceptor_;
     OperatorApi operator_api_;
     http_server::Server control_server_;
-    std::optional<http_server::Server> directory_server_;
+    std::optional<DirectoryService> directory_; // none where the settings name no port for it
     metrics::MetricsServer metrics_server_;
 };
 
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -1,5 +1,6 @@
-// The connections between core members. Each member dials every other that it knows of, and sends on the
-// connection that it dialled; what it accepted it only reads. One thread.
+// The connections between core members, a full mesh: each member dials every peer and sends on the connection
+// that it dialled; from connections that it accepted it only reads (control/connection_acceptor.h). One
+// thread.
 #pragma once
 
 #include "system/messages/messages.h"
@@ -25,13 +26,15 @@
     };
 
     // `internal_port`: where core members listen for each other, alike on all machines.
-    // `self`: told to the members that it dials.
+    // `self`: how this member introduces itself.
     CoreMesh(asio::io_context& loop, messages::CoreMember self, std::uint16_t internal_port,
              Callbacks callbacks);
 
-    // Keeps trying to reach this member from now on. False where it is no member's id, or there are too many.
+    // Keeps a connection to this member from now on. False where it is this member itself or no endpoint, or
+    // there are too many.
     bool add_peer(const MemberId& member);
-    // Dials whom it is not connected to; called now and then.
+    // Dials the peers that it is not connected to; to be called often.
+    // A message to a peer that is not connected is dropped.
     void maintain();
     void send(const MemberId& to, const messages::CoreMessage& message);
     void broadcast(const messages::CoreMessage& message);
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -2,6 +2,8 @@
 
 #include "common/identity/random_identity.h"
 
+#include "system/logging/log.h"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -60,8 +62,7 @@
     const replication::ReplicatedState& committed = replica_.committed();
     const auto state = configuration::decode(*committed.content);
     if (!state) {
-        fmt::print(stderr, "level=error event=state-unreadable member={} detail=\"{}\"\n", self_,
-                   state.error().detail);
+        logging::error("state-unreadable").field("member", self_).text("detail", state.error().detail);
         return;
     }
     orders_.on_state(state.value(), committed.position);
@@ -75,11 +76,14 @@
     const bool rose = role == replication::Role::primary && role != last_role_;
     last_role_ = role;
     last_epoch_ = record.epoch;
-    fmt::print(
-        stderr,
-        "level=info event=role member={} role={} reason={} epoch={} primary={} in_sync={} witnesses={}\n",
-        self_, replication::name_of(role), replica_.role_reason(), record.epoch, record.primary,
-        fmt::join(record.in_sync, ","), fmt::join(record.witnesses, ","));
+    logging::info("role")
+        .field("member", self_)
+        .field("role", replication::name_of(role))
+        .field("reason", replica_.role_reason())
+        .field("epoch", record.epoch)
+        .field("primary", record.primary)
+        .field("in_sync", fmt::format("{}", fmt::join(record.in_sync, ",")))
+        .field("witnesses", fmt::format("{}", fmt::join(record.witnesses, ",")));
     if (rose) callbacks_.on_primary();
 }
 
--- a/src/system/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -1,5 +1,5 @@
-// This process as a member of the core: the replica with its disk, and the queue of orders in front of it.
-// One thread.
+// This process as a core member: the replica with its store, and the queue of orders in front of it. All
+// calls on the loop's thread; callbacks come on it too.
 #pragma once
 
 #include "system/control/order_queue.h"
--- a/src/system/control/directory.h
+++ b/src/system/control/directory.h
@@ -1,5 +1,5 @@
-// Which schedulers a client is sent to: those of its zone that are ready, and where these are too few, the
-// nearest others. Pure.
+// Which schedulers a client is sent to: the ready ones of its zone, and where these are too few, the nearest
+// others. Pure.
 #pragma once
 
 #include "system/membership/lease_table.h"
@@ -10,8 +10,10 @@
 namespace willowrill::control {
 
 inline constexpr std::size_t max_addresses = 64;
-inline constexpr std::size_t enough_in_zone = 2; // fewer are helped by schedulers of other zones
+// Where fewer are found, schedulers further away are added.
+inline constexpr std::size_t enough_in_zone = 2;
 
+// Addresses for clients in this zone and region, the nearest first; at most `max_addresses`.
 std::vector<std::string> resolve(const std::vector<membership::Lease>& leases, const std::string& region,
                                  const std::string& zone);
 
--- /dev/null
+++ b/src/system/control/directory_service.h
@@ -0,0 +1,28 @@
+// The directory as clients ask for it over HTTP: which schedulers they may send their requests to. One
+// thread.
+#pragma once
+
+#include "system/http/server.h"
+#include "system/membership/lease_table.h"
+#include "system/settings/settings.h"
+
+#include <functional>
+#include <vector>
+
+namespace willowrill::control {
+
+class DirectoryService {
+  public:
+    using Leases = std::function<std::vector<membership::Lease>()>;
+
+    // `leases`: asked at each request.
+    DirectoryService(asio::io_context& loop, const settings::Endpoint& endpoint, Leases leases);
+
+  private:
+    void on_request(const http_server::Request& request, const http_server::Respond& respond) const;
+
+    Leases leases_;
+    http_server::Server server_;
+};
+
+} // namespace willowrill::control
--- a/src/system/control/endpoint_list_service.h
+++ b/src/system/control/endpoint_list_service.h
@@ -1,5 +1,6 @@
-// The platform's list of workers at this core member: the primary names an owner for each zone, owners read
-// the platform, and everyone takes in the newest list. One thread.
+// The platform's endpoint lists at this core member. The primary assigns each zone to a member, that member
+// polls the platform for it and publishes the list, and every member keeps the newest list of each zone. One
+// thread.
 #pragma once
 
 #include "system/control/platform_poller.h"
@@ -25,7 +26,7 @@
                         Callbacks callbacks);
 
     void tick() { poller_.tick(Clock::now()); }
-    // As the primary of this epoch, names the owners among these members and tells them.
+    // As the primary of this epoch, assigns the zones to these members and publishes the assignments.
     void assign(std::uint64_t epoch, const std::vector<std::string>& live);
     // Another member is the primary.
     void stop_assigning() { assigner_.reset(); }
--- a/src/system/control/main.cpp
+++ b/src/system/control/main.cpp
@@ -1,5 +1,6 @@
 // willowrill-control: one process of the control plane.
 #include "system/control/control_plane.h"
+#include "system/logging/log.h"
 #include "system/transport/process.h"
 
 #include <CLI/CLI.hpp>
@@ -57,15 +58,16 @@
     if (!configuration_path.empty()) return check_configuration(configuration_path);
     const auto settings = settings::load(settings_path);
     if (!settings || settings.value().control.port == 0) {
-        fmt::print(stderr, "level=error event=settings-unusable path={} detail=\"{}\"\n", settings_path,
-                   settings ? "endpoints.control is missing" : settings.error().detail);
+        logging::error("settings-unusable")
+            .field("path", settings_path)
+            .text("detail", settings ? "endpoints.control is missing" : settings.error().detail);
         return 1;
     }
     if (check) return 0;
     try {
         return serve(settings.value(), settings_path, metrics_port);
     } catch (const std::exception& error) {
-        fmt::print(stderr, "level=error event=ended detail=\"{}\"\n", error.what());
+        logging::error("ended").text("detail", error.what());
         return 1;
     }
 }
--- a/src/system/control/operator_api.cpp
+++ b/src/system/control/operator_api.cpp
@@ -1,5 +1,7 @@
 #include "system/control/operator_api.h"
 
+#include "system/logging/log.h"
+
 #include <fmt/format.h>
 
 #include <charconv>
@@ -95,8 +97,9 @@
             metrics_.add(metrics::Total::orders, kind, std::to_string(status));
             metrics_.observe(metrics::Duration::order_wait, steady_now() - since, kind);
             if (result) return respond(json_response(request, 200, "{}"));
-            fmt::print(stderr, "level=info event=order-refused target={} detail=\"{}\"\n",
-                       std::string(request.target()), result.error().detail);
+            logging::info("order-refused")
+                .field("target", std::string(request.target()))
+                .text("detail", result.error().detail);
             respond(error_response(request, result.error()));
         });
 }
--- a/src/system/control/platform_poller.h
+++ b/src/system/control/platform_poller.h
@@ -1,5 +1,5 @@
-// Reads the platform's list of workers, for the zones whose token this member holds: every page of a zone,
-// again and again, within the rate that all callers share. One thread.
+// Polls the platform for the lists of workers of the zones that this member owns: every page of a zone, again
+// and again, within the rate that all callers of the platform share. One thread.
 #pragma once
 
 #include "system/discovery/instances.h"
@@ -21,11 +21,11 @@
     PlatformPoller(asio::io_context& loop, settings::Endpoint platform, metrics::Metrics& metrics,
                    OnList on_list);
 
-    // This member reads the zone from now on, until a newer token names another owner.
+    // This member polls the zone from now on, under this token. An older token than the newest is ignored.
     void start_polling(const std::string& zone, discovery::FencingToken token);
-    // Another owner has a newer token.
+    // Another member owns the zone under this token. Ignored where it is not newer than this member's.
     void stop_polling(const std::string& zone, discovery::FencingToken token);
-    // Starts the readings that are due.
+    // Starts the polls that are due; to be called often.
     void tick(std::chrono::steady_clock::time_point now);
 
   private:
@@ -34,7 +34,7 @@
         std::shared_ptr<http_client::Client> client;
         std::chrono::steady_clock::time_point due;
         std::uint64_t serial = 0;
-        std::vector<discovery::Instance> read; // of the pages so far
+        std::vector<discovery::Instance> instances; // of the pages so far
         std::size_t pages = 0;
     };
     void read_page(const std::string& zone, const std::string& page_token);
--- a/src/system/control/replica_store.cpp
+++ b/src/system/control/replica_store.cpp
@@ -2,9 +2,9 @@
 
 #include "system/compression/compression.h"
 #include "system/configuration/control_state.h"
+#include "system/logging/log.h"
 #include "system/replication/codec.h"
 
-#include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
 #include <stdexcept>
@@ -27,7 +27,7 @@
     try {
         return decode(*ring.newest());
     } catch (const std::exception& error) {
-        fmt::print(stderr, "level=error event=record-unreadable detail=\"{}\"\n", error.what());
+        logging::error("record-unreadable").text("detail", error.what());
         return std::nullopt;
     }
 }
@@ -35,11 +35,11 @@
 void report(const char* name, const storage::RecordRing& ring) {
     using storage::SlotContent;
     for (const SlotContent content : ring.found()) {
-        if (content == SlotContent::torn)
-            fmt::print(stderr, "level=warning event=record-torn ring={}\n", name);
+        if (content == SlotContent::torn) logging::warning("record-torn").field("ring", name);
         if (content == SlotContent::foreign || content == SlotContent::newer)
-            fmt::print(stderr, "level=error event=record-not-ours ring={} newer={}\n", name,
-                       content == SlotContent::newer);
+            logging::error("record-not-ours")
+                .field("ring", name)
+                .field("newer", content == SlotContent::newer);
     }
 }
 
--- a/src/system/control/replica_store.h
+++ b/src/system/control/replica_store.h
@@ -1,5 +1,5 @@
-// A core member's durable state in two rings of records: the witness register, and the replicated state. One
-// thread; every call waits for the disk.
+// A core member's durable state in two record rings: the witness register, and the replicated state. Not for
+// use by several threads at once; every call blocks until the disk has answered.
 #pragma once
 
 #include "system/errors/error.h"
@@ -16,8 +16,8 @@
     static errors::Result<std::unique_ptr<ReplicaStore>> open(const std::filesystem::path& folder);
 
     replication::Loaded load() const;
-    // True once the record will survive a loss of power; otherwise its fate is unknown, and all are refused
-    // up to the next one that restores.
+    // True once the record survives a loss of power. Otherwise it may or may not be stored, and every later
+    // save fails too, until one that restores (`replication::Save::restores`) succeeds.
     bool save(const replication::Save& request);
 
   private:
--- a/src/system/control/replica_store_thread.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -1,6 +1,6 @@
 #include "system/control/replica_store_thread.h"
 
-#include <fmt/format.h>
+#include "system/logging/log.h"
 
 #include <chrono>
 #include <condition_variable>
@@ -12,7 +12,7 @@
 namespace willowrill::control {
 namespace {
 
-constexpr std::chrono::milliseconds open_again{500};
+constexpr std::chrono::milliseconds reopen_period{500};
 
 } // namespace
 
@@ -25,7 +25,7 @@
     std::filesystem::path folder;
     OnEvent on_event; // of the loop's thread alone
 
-    void tell(const std::shared_ptr<Shared>& self, replication::Event event) {
+    void post_event(const std::shared_ptr<Shared>& self, replication::Event event) {
         const std::lock_guard lock(mutex);
         if (loop == nullptr) return;
         asio::post(*loop, [self, event = std::move(event)] {
@@ -46,28 +46,28 @@
     // Whether the worker still wants it after the pause.
     bool pause() {
         std::unique_lock lock(mutex);
-        return !changed.wait_for(lock, open_again, [this] { return loop == nullptr; });
+        return !changed.wait_for(lock, reopen_period, [this] { return loop == nullptr; });
     }
 
     std::unique_ptr<ReplicaStore> open() {
-        for (std::string told;;) {
-            auto disk = ReplicaStore::open(folder);
-            if (disk) return std::move(disk.value());
-            if (std::exchange(told, disk.error().detail) != disk.error().detail)
-                fmt::print(stderr, "level=error event=disk-unusable detail=\"{}\"\n", told);
+        for (std::string logged;;) {
+            auto store = ReplicaStore::open(folder);
+            if (store) return std::move(store.value());
+            if (std::exchange(logged, store.error().detail) != store.error().detail)
+                logging::error("disk-unusable").text("detail", logged);
             if (!pause()) return nullptr;
         }
     }
 
     static void run(const std::shared_ptr<Shared>& self) {
-        const std::unique_ptr<ReplicaStore> disk = self->folder.empty() ? nullptr : self->open();
-        if (!disk && !self->folder.empty()) return;
-        self->tell(self, disk ? disk->load() : replication::Loaded{});
+        const std::unique_ptr<ReplicaStore> store = self->folder.empty() ? nullptr : self->open();
+        if (!store && !self->folder.empty()) return;
+        self->post_event(self, store ? store->load() : replication::Loaded{});
         while (const auto request = self->next()) {
-            if (!disk || disk->save(*request))
-                self->tell(self, replication::Saved{request->ticket});
+            if (!store || store->save(*request))
+                self->post_event(self, replication::Saved{request->ticket});
             else
-                self->tell(self, replication::SaveFailed{request->ticket});
+                self->post_event(self, replication::SaveFailed{request->ticket});
         }
     }
 };
--- a/src/system/control/replica_store_thread.h
+++ b/src/system/control/replica_store_thread.h
@@ -1,5 +1,5 @@
-// Carries a core member's saves to its disk on a thread of its own, so that a disk that is slow or stalled
-// holds up nothing else. Answers come as events on the loop. All calls on the loop's thread.
+// Runs a core member's saves on a thread of its own, so that a slow or stalled disk blocks nothing else. All
+// calls on the loop's thread; results come as events on it, in the order of the saves.
 #pragma once
 
 #include "system/control/replica_store.h"
--- /dev/null
+++ b/tests/system/ownership/role_assigner_test.cpp
@@ -0,0 +1,48 @@
+// Singleton roles: rendezvous order, and owners under fencing tokens.
+#include "system/ownership/ownership.h"
+
+#include "support/expect.h"
+
+#include <criterion/criterion.h>
+
+#include <string>
+#include <vector>
+
+using namespace willowrill;
+using ownership::Time;
+
+Test(rendezvous_order, only_the_keys_of_a_removed_candidate_move) {
+    std::vector<std::string> all;
+    for (int i = 0; i < 10; ++i)
+        all.push_back("node-" + std::to_string(i));
+    std::vector<std::string> fewer = all;
+    fewer.erase(fewer.begin() + 3);
+    int moved = 0, lost = 0;
+    for (int key = 0; key < 1000; ++key) {
+        const std::string name = "key-" + std::to_string(key);
+        const auto before = ownership::rendezvous_order(name, all).front();
+        const auto after = ownership::rendezvous_order(name, fewer).front();
+        lost += before == all[3] ? 1 : 0;
+        moved += before != after ? 1 : 0;
+    }
+    cr_assert_eq(moved, lost);
+    cr_assert(lost > 50 && lost < 200, "%d of 1000", lost);
+}
+
+Test(role_assigner, an_owner_that_shows_no_work_is_replaced_under_a_higher_token) {
+    ownership::RoleAssigner assigner(7, Time(1600));
+    const std::vector<std::string> live{"a", "b", "c"};
+    const auto first = assigner.assign({"zone"}, live, Time(0))[0];
+    cr_assert_eq(first.token.epoch, 7U);
+    assigner.on_work_seen("zone", first.token, Time(1000));
+    cr_assert(assigner.assign({"zone"}, live, Time(2600))[0] == first);
+    const auto second = assigner.assign({"zone"}, live, Time(2601))[0];
+    expect_other_text(second.owner.c_str(), first.owner.c_str());
+    cr_assert(second.token > first.token);
+    assigner.on_work_seen("zone", first.token, Time(4000)); // the old one wakes up
+    const auto third = assigner.assign({"zone"}, live, Time(4300))[0];
+    cr_assert(third.token > second.token);
+    const auto gone = assigner.assign({"zone"}, {"a"}, Time(4400))[0];
+    expect_text(gone.owner.c_str(), "a");
+    cr_assert(ownership::RoleAssigner(8, Time(1600)).assign({"zone"}, live, Time(0))[0].token > gone.token);
+}
