--- a/src/system/configuration/configuration.cpp
+++ b/src/system/configuration/configuration.cpp
@@ -106,23 +106,28 @@
     return out;
 }
 
-// What a schema cannot say.
-std::optional<Error> contradiction(const Configuration& configuration) {
+std::optional<Error> check_weights(const Route& route, const std::set<std::string_view>& services) {
+    double sum = 0;
+    for (const WeightedService& part : route.distribution) {
+        if (!services.contains(part.service))
+            return invalid(fmt::format("route \"{}\": no service \"{}\"", route.name, part.service));
+        sum += part.weight;
+    }
+    if (sum <= 0) return invalid(fmt::format("route \"{}\": the weights add up to 0", route.name));
+    return std::nullopt;
+}
+
+// Checks what the schema cannot express: unique names and places, and references to services.
+std::optional<Error> check_consistency(const Configuration& configuration) {
     std::set<std::string_view> services;
     for (const Service& service : configuration.services)
         if (!services.insert(service.name).second)
             return invalid(fmt::format("service \"{}\" stands twice", service.name));
-    std::set<std::pair<std::string_view, std::string_view>> places;
+    std::set<std::pair<std::string_view, std::string_view>> hosts_and_prefixes;
     for (const Route& route : configuration.routes) {
-        if (!places.emplace(route.host, route.path_prefix).second)
+        if (!hosts_and_prefixes.emplace(route.host, route.path_prefix).second)
             return invalid(fmt::format("two routes at {}{}", route.host, route.path_prefix));
-        double weights = 0;
-        for (const WeightedService& part : route.distribution) {
-            if (!services.contains(part.service))
-                return invalid(fmt::format("route \"{}\": no service \"{}\"", route.name, part.service));
-            weights += part.weight;
-        }
-        if (weights <= 0) return invalid(fmt::format("route \"{}\": the weights add up to 0", route.name));
+        if (auto error = check_weights(route, services)) return error;
         if (route.timeout <= Milliseconds(0))
             return invalid(fmt::format("route \"{}\": timeoutMs is under 1", route.name));
     }
@@ -156,23 +161,37 @@
     for (const Value& service : document["services"].GetArray())
         out.services.push_back(read_service(service));
     out.limits = read_limits(document);
-    if (auto error = contradiction(out)) return *error;
+    if (auto error = check_consistency(out)) return *error;
     return out;
 }
 
 namespace {
 
+std::set<std::string> read_removals(const Value& patch, const char* key) {
+    std::set<std::string> out;
+    const auto list = patch["remove"].FindMember(key);
+    if (list == patch["remove"].MemberEnd()) return out;
+    for (const Value& name : list->value.GetArray())
+        out.insert(text_of(name));
+    return out;
+}
+
+// By name.
+template <class Item, class Read>
+std::map<std::string, Item> read_upserts(const Value& patch, const char* key, Read read) {
+    std::map<std::string, Item> out;
+    const auto list = patch["upsert"].FindMember(key);
+    if (list == patch["upsert"].MemberEnd()) return out;
+    for (const Value& item : list->value.GetArray())
+        out.emplace(text_of(item["name"]), read(item));
+    return out;
+}
+
 // Replaces, appends and removes items of a list by name.
 template <class Item, class Read>
 void alter_list(std::vector<Item>& items, const Value& patch, const char* key, Read read) {
-    std::map<std::string, Item> upserts;
-    std::set<std::string> removals;
-    if (const auto list = patch["upsert"].FindMember(key); list != patch["upsert"].MemberEnd())
-        for (const Value& item : list->value.GetArray())
-            upserts.emplace(text_of(item["name"]), read(item));
-    if (const auto list = patch["remove"].FindMember(key); list != patch["remove"].MemberEnd())
-        for (const Value& name : list->value.GetArray())
-            removals.insert(text_of(name));
+    auto upserts = read_upserts<Item>(patch, key, read);
+    const auto removals = read_removals(patch, key);
     std::erase_if(items, [&](const Item& item) { return removals.contains(item.name); });
     for (Item& item : items) {
         const auto upsert = upserts.find(item.name);
--- a/src/system/settings/settings.cpp
+++ b/src/system/settings/settings.cpp
@@ -56,13 +56,7 @@
     return out;
 }
 
-Settings read(const Json& document) {
-    Settings out;
-    out.node_name = document.at("nodeName").get<std::string>();
-    out.zone = document.at("zone").get<std::string>();
-    out.region = value_or(document, "region", std::string());
-    out.regions = value_or(document, "zones", std::map<std::string, std::string>());
-    out.address = document.at("ipAddress").get<std::string>();
+void read_endpoints(const Json& document, Settings& out) {
     const Json endpoints = value_or<Json>(document, "endpoints", Json::object());
     out.front = endpoint_or_none(endpoints, "front");
     out.readiness = endpoint_or_none(endpoints, "readiness");
@@ -71,18 +65,41 @@
     const auto ports = document.at("internalPorts").get<std::vector<std::uint16_t>>();
     out.first_internal_port = ports.at(0);
     out.last_internal_port = ports.at(1);
+}
+
+// The seeds, the disk and the losses to be borne.
+void read_core(const Json& document, Settings& out) {
     for (const auto& seed : value_or(document, "seedNodes", std::vector<std::string>()))
         if (const auto parsed = parse_endpoint(seed)) out.seeds.push_back(parsed.value());
     out.initial_start = value_or(document, "initialStart", false);
     out.data_path = value_or(document, "dataPath", std::string());
     const Json resilience = value_or<Json>(document, "resilience", Json::object());
     out.tolerated_members = std::max<std::size_t>(1, value_or(resilience, "nodes", std::size_t{1}));
+}
+
+void read_platform(const Json& document, Settings& out) {
     const Json platform = value_or<Json>(document, "platformApi", Json::object());
     out.platform = endpoint_or_none(platform, "address");
     out.platform_calls_per_s = value_or(platform, "ratePerS", out.platform_calls_per_s);
+}
+
+void read_limits(const Json& document, Settings& out) {
     const Json limits = value_or<Json>(document, "limits", Json::object());
     out.memory_mb = value_or(limits, "memoryMb", out.memory_mb);
     out.most_files = value_or(limits, "maxFiles", out.most_files);
+}
+
+Settings read(const Json& document) {
+    Settings out;
+    out.node_name = document.at("nodeName").get<std::string>();
+    out.zone = document.at("zone").get<std::string>();
+    out.region = value_or(document, "region", std::string());
+    out.regions = value_or(document, "zones", std::map<std::string, std::string>());
+    out.address = document.at("ipAddress").get<std::string>();
+    read_endpoints(document, out);
+    read_core(document, out);
+    read_platform(document, out);
+    read_limits(document, out);
     out.timers = timers_of(document);
     return out;
 }
