--- a/src/system/control/endpoint_list_service.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -50,12 +50,13 @@
 }
 
 void EndpointListService::on_own_list(const discovery::ZoneList& list) {
-    const auto held = catalogue_.zones().find(list.zone);
-    const bool same = held != catalogue_.zones().end() && held->second.token == list.token &&
-                      discovery::same_content(held->second.instances, list.instances, republish_period / 2);
+    const auto known = catalogue_.zones().find(list.zone);
+    const bool is_unchanged =
+        known != catalogue_.zones().end() && known->second.token == list.token &&
+        discovery::same_content(known->second.instances, list.instances, republish_period / 2);
     apply_list(list);
     const Clock::time_point now = Clock::now();
-    if (same && now - list_sent_at_[list.zone] < 4 * republish_period)
+    if (is_unchanged && now - list_sent_at_[list.zone] < 4 * republish_period)
         return callbacks_.broadcast(messages::ZoneListUnchanged{list.zone, list.token});
     list_sent_at_[list.zone] = now;
     callbacks_.broadcast(messages::ZoneListUpdate{list});
