--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -21,7 +21,9 @@
 // What a message takes: its body here, on the way to the worker, and as much for the result on its way back.
 constexpr std::size_t copies = 4, small_parts = 4096;
 
-template <class... Functions> struct Overloaded : Functions... { using Functions::operator()...; };
+template <class... Functions> struct Overloaded : Functions... {
+    using Functions::operator()...;
+};
 template <class... Functions> Overloaded(Functions...) -> Overloaded<Functions...>;
 
 } // namespace
--- a/src/scheduler/simulator_adapter/wire.cpp
+++ b/src/scheduler/simulator_adapter/wire.cpp
@@ -286,7 +286,9 @@
     }
 }
 
-template <class... Functions> struct Overloaded : Functions... { using Functions::operator()...; };
+template <class... Functions> struct Overloaded : Functions... {
+    using Functions::operator()...;
+};
 template <class... Functions> Overloaded(Functions...) -> Overloaded<Functions...>;
 
 } // namespace
--- a/src/system/configuration/configuration.h
+++ b/src/system/configuration/configuration.h
@@ -37,7 +37,7 @@
     unsigned max_attempts = 1;
     bool affinity = false;
     bool resumable = false;
-    Milliseconds longest_gap{0}; // between events of a stream that is in time; 0 where none is stated
+    Milliseconds max_gap{0}; // between events of a stream that is in time; 0 where none is stated
     std::vector<std::string> home_regions; // empty: anywhere
 
     bool operator==(const Route&) const = default;
--- a/src/system/configuration/control_state.cpp
+++ b/src/system/configuration/control_state.cpp
@@ -61,7 +61,7 @@
 
 void remember(ControlState& state, const TakenOrder& order) {
     state.taken.push_back(order);
-    if (state.taken.size() <= most_taken) return;
+    if (state.taken.size() <= max_taken) return;
     state.forgotten_through = state.taken.front().version;
     state.taken.pop_front();
 }
@@ -72,10 +72,10 @@
         return Error{ErrorKind::state_too_large,
                      fmt::format("the state would take {} of {} bytes", size, most)};
     };
-    if (encoded.size() > most_state_bytes) return error(encoded.size(), most_state_bytes);
-    if (encoded.size() <= most_record_bytes) return std::nullopt;
+    if (encoded.size() > max_state_bytes) return error(encoded.size(), max_state_bytes);
+    if (encoded.size() <= max_record_bytes) return std::nullopt;
     const std::size_t packed = compression::compress(encoded).size();
-    if (packed > most_record_bytes) return error(packed, most_record_bytes);
+    if (packed > max_record_bytes) return error(packed, max_record_bytes);
     return std::nullopt;
 }
 
--- a/src/system/configuration/control_state.h
+++ b/src/system/configuration/control_state.h
@@ -31,18 +31,18 @@
     Version version = 0;       // 0: there is no configuration yet
     std::string configuration; // whole: as the operator sent it, or with its changes applied
     std::set<std::string> evacuated_zones;
-    std::deque<TakenOrder> taken;  // at most `most_taken`, the oldest first
+    std::deque<TakenOrder> taken;  // at most `max_taken`, the oldest first
     Version forgotten_through = 0; // orders up to this version are not among `taken` any more
 };
 
 // Orders remembered. An operator has at most eight orders under way and sends one again within seconds, so
 // hundreds would have to be taken in between before one of them is forgotten.
-inline constexpr std::size_t most_taken = 1024;
+inline constexpr std::size_t max_taken = 1024;
 
 // What members can keep: the longest encoded state, and the room of its packed record on their disks. An
 // order that needs more of either is refused. Two of the longest bodies that operators may send fit.
-inline constexpr std::size_t most_state_bytes = 8U << 20U;
-inline constexpr std::size_t most_record_bytes = 1U << 20U;
+inline constexpr std::size_t max_state_bytes = 8U << 20U;
+inline constexpr std::size_t max_record_bytes = 1U << 20U;
 
 // A line with all but the configuration, then the configuration as it is.
 std::string encode(const ControlState& state);
--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -2,43 +2,23 @@
 
 #include "common/identity/random_identity.h"
 
-#include "system/control/directory.h"
-#include "system/replication/codec.h"
-
-#include <fmt/format.h>
+#include "system/logging/log.h"
 
 #include <utility>
 
 namespace willowrill::control {
 namespace {
 
-using errors::ErrorKind;
-using nlohmann::json;
-
 constexpr std::chrono::milliseconds tick_period{50};
-constexpr std::uint64_t ticks_between_dials = 2;
-constexpr std::uint64_t ticks_between_gossip = 14;
-constexpr std::uint64_t gossips_between_cores = 8;
-constexpr std::uint64_t ticks_between_assignments = 5;
-constexpr std::chrono::milliseconds shortest_leave{900}; // so that schedulers hear of it
-constexpr std::chrono::milliseconds grace_margin{
-    1000}; // the process ends this long before the platform ends it
-constexpr int resolution_ttl_s = 1;
-constexpr std::size_t most_unnamed = 256;
-
-std::string query_value(std::string_view target, std::string_view key) {
-    const std::size_t mark = target.find('?');
-    if (mark == std::string_view::npos) return {};
-    std::string_view rest = target.substr(mark + 1);
-    while (!rest.empty()) {
-        const std::string_view item = rest.substr(0, rest.find('&'));
-        rest.remove_prefix(std::min(rest.size(), item.size() + 1));
-        const std::size_t equals = item.find('=');
-        if (equals != std::string_view::npos && item.substr(0, equals) == key)
-            return std::string(item.substr(equals + 1));
-    }
-    return {};
-}
+// Each a multiple of the tick's.
+constexpr std::chrono::milliseconds dial_period{100};
+constexpr std::chrono::milliseconds assignment_period{250};
+constexpr std::chrono::milliseconds lease_publish_period{700};
+constexpr std::chrono::milliseconds announcement_period = 8 * lease_publish_period;
+// A shutdown takes at least so long, so that schedulers hear of it.
+constexpr std::chrono::milliseconds min_shutdown{900};
+// The process ends so long before the platform would end it.
+constexpr std::chrono::milliseconds grace_margin{1000};
 
 std::set<std::string> zones_of(const settings::Settings& settings) {
     std::set<std::string> out;
@@ -55,24 +35,23 @@
       self_(settings::to_text(settings_.control)),
       node_(loop, settings_,
             {[this](const MemberId& to, const replication::Message& message) {
-                 mesh_.send(to, {{"type", "replication"}, {"message", replication::encode(message)}});
+                 mesh_.send(to, messages::ReplicationEnvelope{message});
              },
              [this](const replication::Position& position, const configuration::ControlState& state) {
                  on_state(position, state);
              },
              [this] { assign_lists(); }}), // schedulers that start wait for the list
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
-      hub_(hub_callbacks()),
-      leases_(identity::random_identity(),
-              {[this](const json& message) { mesh_.broadcast(message); },
-               [this](const MemberId& to, const json& message) { mesh_.send(to, message); },
-               [this](const std::vector<membership::Lease>& leases) { hub_.publish_members(leases); }}),
+      sessions_(session_callbacks()),
+      leases_(
+          identity::random_identity(),
+          {[this](const messages::LeasesMessage& message) { mesh_.broadcast(message); },
+           [this](const MemberId& to, const messages::LeasesMessage& message) { mesh_.send(to, message); },
+           [this](const std::vector<membership::Lease>& leases) { sessions_.publish_members(leases); }}),
       lists_(loop, settings_, metrics_,
-             {[this](const json& message) { mesh_.broadcast(message); },
-              [this](const discovery::ZoneList& list) { hub_.publish_zone(list); }}),
-      timer_(loop),
-      listener_(loop, settings_.address, settings_.first_internal_port,
-                [this](const transport::FrameConnectionPtr& connection) { accept(connection); }),
+             {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
+              [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
+      timer_(loop), acceptor_(loop, settings_.address, settings_.first_internal_port, *this),
       operator_api_(node_, self_, zones_of(settings_), metrics_),
       control_server_(loop, settings_.control.host, settings_.control.port, {},
                       [this](const http_server::Request& request, const http_server::Respond& respond) {
@@ -80,13 +59,9 @@
                       }),
       metrics_server_(loop, settings_.address, metrics_port, metrics_, [this] { refresh_levels(); }) {
     if (settings_.directory.port != 0)
-        directory_server_.emplace(
-            loop, settings_.directory.host, settings_.directory.port, http_server::Options{},
-            [this](const http_server::Request& request, const http_server::Respond& respond) {
-                on_directory(request, respond);
-            });
-    places_[self_] = {self_, settings_.zone, settings_.region};
-    know_members();
+        directory_.emplace(loop, settings_.directory, [this] { return leases_.leases(); });
+    member_locations_[self_] = {self_, settings_.zone, settings_.region};
+    discover_peers();
     tick();
 }
 
@@ -99,7 +74,7 @@
 }
 
 void ControlPlane::refresh_levels() {
-    metrics_.set(metrics::Level::sessions, static_cast<double>(hub_.sessions()));
+    metrics_.set(metrics::Level::sessions, static_cast<double>(sessions_.sessions()));
     metrics_.set(metrics::Level::is_primary, node_.is_primary() ? 1 : 0);
     metrics_.set(metrics::Level::epoch, static_cast<double>(node_.witness_register().decided.epoch));
     metrics_.set(metrics::Level::members, static_cast<double>(leases_.leases().size()));
@@ -109,15 +84,15 @@
     return {[this](const MemberId& member) { on_peer_connected(member); },
             [this](const MemberId& member) { node_.feed(replication::PeerDisconnected{member}); },
             [this](const MemberId& member) {
-                const auto place = places_.find(member);
-                const bool known = place != places_.end();
+                const auto place = member_locations_.find(member);
+                const bool known = place != member_locations_.end();
                 return counter("core", metrics::crossing(settings_.zone, settings_.region,
                                                          known ? place->second.zone : "",
                                                          known ? place->second.region : ""));
             }};
 }
 
-distribution::SchedulerHub::Callbacks ControlPlane::hub_callbacks() {
+distribution::SchedulerSessions::Callbacks ControlPlane::session_callbacks() {
     using distribution::SessionId;
     return {[this](SessionId id, const transport::Frame& frame) {
                 if (const auto found = schedulers_.find(id); found != schedulers_.end())
@@ -128,7 +103,7 @@
                     found->second->close();
             },
             [this] { return node_.current(); },
-            [this] { return reached_places(); },
+            [this] { return reached_members(); },
             [this](const membership::Lease& lease) { leases_.on_renewed(steady_now(), lease); },
             [this](const membership::Lease& lease) { leases_.on_disconnected(lease); }};
 }
@@ -139,52 +114,56 @@
     return out;
 }
 
-std::vector<distribution::CoreMember> ControlPlane::reached_places() const {
-    std::vector<distribution::CoreMember> out;
+std::vector<messages::CoreMember> ControlPlane::reached_members() const {
+    std::vector<messages::CoreMember> out;
     for (const MemberId& id : reached()) {
-        const auto place = places_.find(id);
-        out.push_back(place == places_.end() ? distribution::CoreMember{id, "", ""} : place->second);
+        const auto place = member_locations_.find(id);
+        out.push_back(place == member_locations_.end() ? messages::CoreMember{id, "", ""} : place->second);
     }
     return out;
 }
 
-void ControlPlane::know_members() {
+void ControlPlane::discover_peers() {
     for (const settings::Endpoint& seed : settings_.seeds)
-        mesh_.know(settings::to_text(seed));
+        mesh_.add_peer(settings::to_text(seed));
     const replication::WitnessRegister& known = node_.witness_register();
     for (const auto* record : {&known.accepted, &known.decided}) {
         for (const MemberId& id : record->witnesses)
-            mesh_.know(id);
+            mesh_.add_peer(id);
         for (const MemberId& id : record->in_sync)
-            mesh_.know(id);
+            mesh_.add_peer(id);
     }
 }
 
 void ControlPlane::reload_settings() {
     auto again = settings::load(settings_path_);
     if (!again) {
-        fmt::print(stderr, "level=warning event=settings-unreadable detail=\"{}\"\n", again.error().detail);
+        logging::warning("settings-unreadable").text("detail", again.error().detail);
         return;
     }
     settings_.seeds = again.value().seeds;
-    know_members();
+    discover_peers();
+}
+
+bool ControlPlane::is_due(std::chrono::milliseconds period) const {
+    return nominal_uptime_ % period == std::chrono::milliseconds::zero();
 }
 
 void ControlPlane::tick() {
-    ++ticks_;
+    nominal_uptime_ += tick_period;
     node_.tick();
     lists_.tick();
     leases_.expire(steady_now());
-    hub_.flush();
-    if (ticks_ % ticks_between_dials == 0) {
-        know_members();
+    sessions_.flush();
+    if (is_due(dial_period)) {
+        discover_peers();
         mesh_.maintain();
     }
-    if (ticks_ % ticks_between_gossip == 0) {
-        leases_.tell();
-        tell_core();
+    if (is_due(lease_publish_period)) {
+        leases_.publish();
+        announce_peers();
     }
-    if (ticks_ % ticks_between_assignments == 0) assign_lists();
+    if (is_due(assignment_period)) assign_lists();
     end_if_possible();
     timer_.expires_after(tick_period);
     timer_.async_wait([this](ErrorCode error) {
@@ -192,13 +171,12 @@
     });
 }
 
-// Whom this member reaches: at a change, and now and then for those that missed it.
-void ControlPlane::tell_core() {
+// At a change, and periodically for members that missed one.
+void ControlPlane::announce_peers() {
     auto connected = mesh_.connected();
-    const bool due = ticks_ % (ticks_between_gossip * gossips_between_cores) == 0;
-    if (connected == told_core_ && !due) return;
-    mesh_.broadcast({{"type", "core"}, {"members", connected}});
-    told_core_ = std::move(connected);
+    if (connected == announced_peers_ && !is_due(announcement_period)) return;
+    mesh_.broadcast(messages::CorePeers{connected});
+    announced_peers_ = std::move(connected);
 }
 
 void ControlPlane::assign_lists() {
@@ -207,99 +185,80 @@
 }
 
 void ControlPlane::on_state(const replication::Position& position, const configuration::ControlState& state) {
-    if (state.version > 0) hub_.publish_state(position, state);
+    if (state.version > 0) sessions_.publish_state(position, state);
 }
 
-// ---- The end ---------------------------------------------------------------------------------------------
+// ---- Shutdown ---------------------------------------------------------------------------------------------
 
 void ControlPlane::leave() {
-    if (left_at_) return;
-    left_at_ = Clock::now();
+    if (shutdown_began_) return;
+    shutdown_began_ = Clock::now();
     node_.feed(replication::BeginShutdown{});
 }
 
 void ControlPlane::end_if_possible() {
-    if (!left_at_) return;
-    const auto since = Clock::now() - *left_at_;
-    const bool done = since >= shortest_leave && node_.may_end();
+    if (!shutdown_began_) return;
+    const auto since = Clock::now() - *shutdown_began_;
+    const bool done = since >= min_shutdown && node_.may_end();
     if (!done && since < settings_.timers.grace - grace_margin) return;
-    fmt::print(stderr, "level=info event=ended member={} others_do_without={}\n", self_, done);
+    logging::info("ended").field("member", self_).field("others_do_without", done);
     loop_.stop();
 }
 
 // ---- Connections -----------------------------------------------------------------------------------------
 
-void ControlPlane::accept(const transport::FrameConnectionPtr& connection) {
-    if (unnamed_.size() >= most_unnamed) return connection->close();
-    unnamed_.insert(connection);
-    auto member = std::make_shared<std::optional<MemberId>>(); // who it said it is
-    auto session = std::make_shared<std::optional<distribution::SessionId>>();
-    const auto on_message = [this, connection = std::weak_ptr(connection), member,
-                             session](const json& message) {
-        const auto self = connection.lock();
-        if (!self) return;
-        if (*session) return hub_.on_message(**session, message);
-        if (*member) return on_core_message(**member, message);
-        unnamed_.erase(self);
-        if (message.at("type") != "hello" || message.at("version") != transport::protocol_version)
-            return self->close();
-        if (message.at("kind") == "core") {
-            const auto who = message.at("member").get<distribution::CoreMember>();
-            if (!mesh_.know(who.id)) return self->close();
-            places_[who.id] = who; // bounded, as the mesh is
-            *member = who.id;
-        } else {
-            *session = ++last_session_;
-            adopt_scheduler(self, **session);
-        }
-    };
-    connection->start(on_message, [this, connection = std::weak_ptr(connection), session] {
-        if (const auto self = connection.lock()) unnamed_.erase(self);
-        if (!*session) return;
-        hub_.on_closed(**session);
-        schedulers_.erase(**session);
-    });
+bool ControlPlane::on_core_member(const messages::CoreMember& member) {
+    if (!mesh_.add_peer(member.id)) return false;
+    member_locations_[member.id] = member; // bounded, as the mesh is
+    return true;
 }
 
-void ControlPlane::adopt_scheduler(const transport::FrameConnectionPtr& connection,
-                                   distribution::SessionId id) {
+distribution::SessionId ControlPlane::on_scheduler(const transport::FrameConnectionPtr& connection) {
+    const distribution::SessionId id = ++last_session_;
     schedulers_[id] = connection;
     connection->observe_sent_frames(counter("scheduler", metrics::Crossing::unknown));
-    hub_.adopt(id);
+    sessions_.adopt(id);
+    return id;
+}
+
+void ControlPlane::on_scheduler_message(distribution::SessionId id,
+                                        const messages::SchedulerMessage& message) {
+    sessions_.on_message(id, message);
+}
+
+void ControlPlane::on_scheduler_closed(distribution::SessionId id) {
+    sessions_.on_closed(id);
+    schedulers_.erase(id);
 }
 
 void ControlPlane::on_peer_connected(const MemberId& member) {
     node_.feed(replication::PeerConnected{member});
     leases_.on_connected(member);
-    for (const json& message : lists_.messages())
-        mesh_.send(member, message);
+    for (const messages::ZoneListUpdate& update : lists_.zone_list_updates())
+        mesh_.send(member, messages::EndpointListMessage{update});
+}
+
+void ControlPlane::on_core_message(const MemberId& from, const messages::CoreMessage& message) {
+    std::visit([&](const auto& one) { on(from, one); }, message);
+}
+
+void ControlPlane::on(const MemberId& /*from*/, const messages::UnknownMessage&) const {}
+
+void ControlPlane::on(const MemberId& from, const messages::ReplicationEnvelope& envelope) {
+    node_.feed(replication::Received{from, envelope.message});
+}
+
+void ControlPlane::on(const MemberId& /*from*/, const messages::CorePeers& peers) {
+    for (const MemberId& id : peers.members)
+        mesh_.add_peer(id);
 }
 
-void ControlPlane::on_core_message(const MemberId& from, const json& message) {
-    const auto type = message.at("type").get<std::string>();
-    if (type == "replication")
-        return node_.feed(replication::Received{from, replication::decode_message(message.at("message"))});
-    if (type == "zone" || type == "zone-unchanged" || type == "assign")
-        return lists_.on_message(type, message);
-    if (type.starts_with("leases")) return leases_.on_message(steady_now(), from, message);
-    if (type != "core") return;
-    for (const json& id : message.at("members"))
-        mesh_.know(id.get<MemberId>());
+void ControlPlane::on(const MemberId& from, const messages::LeasesMessage& message) {
+    leases_.on_message(steady_now(), from, message);
 }
 
-// ---- The directory ---------------------------------------------------------------------------------------
-
-void ControlPlane::on_directory(const http_server::Request& request,
-                                const http_server::Respond& respond) const {
-    const std::string target(request.target());
-    if (!target.starts_with("/-/resolution"))
-        return respond(http_server::error_response(request, {ErrorKind::unknown_resource, target}));
-    const auto addresses =
-        resolve(leases_.leases(), query_value(target, "region"), query_value(target, "zone"));
-    if (addresses.empty())
-        return respond(http_server::error_response(request, {ErrorKind::not_ready, "no scheduler is ready"}));
-    const json body{{"addresses", addresses}, {"ttlS", resolution_ttl_s}};
-    respond(http_server::json_response(request, 200, body.dump()));
+void ControlPlane::on(const MemberId& /*from*/, const messages::EndpointListMessage& message) {
+    lists_.on_message(message);
 }
 
 } // namespace willowrill::control
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -1,27 +1,29 @@
-// One process of the control plane: wires the core member, the operators' interface, leases, the platform's
-// list and the directory to sockets and timers. Everything but the disk runs on the one thread of the loop.
+// One process of the control plane: connects the core member, the operators' interface, leases, endpoint
+// lists and the directory with sockets and timers. Only the replica store has a thread of its own; all else
+// runs on the loop's.
 #pragma once
 
+#include "system/control/connection_acceptor.h"
 #include "system/control/core_mesh.h"
 #include "system/control/core_node.h"
-#include "system/control/lease_gossip.h"
-#include "system/control/list_owners.h"
+#include "system/control/directory_service.h"
+#include "system/control/endpoint_list_service.h"
+#include "system/control/lease_replicator.h"
 #include "system/control/operator_api.h"
-#include "system/distribution/scheduler_hub.h"
+#include "system/distribution/scheduler_sessions.h"
 #include "system/http_server/server.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
 #include "system/transport/frame_connection.h"
 #include "system/transport/frame_listener.h"
 
+#include <chrono>
 #include <map>
-#include <memory>
 #include <optional>
-#include <set>
 
 namespace willowrill::control {
 
-class ControlPlane {
+class ControlPlane : private ConnectionAcceptor::Handler {
   public:
     // `settings_path` is read again whenever seeds are needed, as they may change without a signal.
     // `metrics_port`: 0 where figures are not served.
@@ -38,19 +40,30 @@
 
     void tick();
     void assign_lists();
-    void tell_core();
+    void announce_peers();
     void end_if_possible();
-    void know_members();
+    void discover_peers();
     std::vector<MemberId> reached() const;
-    std::vector<distribution::CoreMember> reached_places() const;
-    void accept(const transport::FrameConnectionPtr& connection);
-    void adopt_scheduler(const transport::FrameConnectionPtr& connection, distribution::SessionId id);
-    void on_core_message(const MemberId& from, const nlohmann::json& message);
+    std::vector<messages::CoreMember> reached_members() const;
+    // Whether a tick that comes with this period, a multiple of its own, is due now.
+    bool is_due(std::chrono::milliseconds period) const;
+
+    // ConnectionAcceptor::Handler
+    bool on_core_member(const messages::CoreMember& member) override;
+    void on_core_message(const MemberId& from, const messages::CoreMessage& message) override;
+    distribution::SessionId on_scheduler(const transport::FrameConnectionPtr& connection) override;
+    void on_scheduler_message(distribution::SessionId id, const messages::SchedulerMessage& message) override;
+    void on_scheduler_closed(distribution::SessionId id) override;
+
+    void on(const MemberId& from, const messages::UnknownMessage&) const;
+    void on(const MemberId& from, const messages::ReplicationEnvelope& envelope);
+    void on(const MemberId& from, const messages::CorePeers& peers);
+    void on(const MemberId& from, const messages::LeasesMessage& message);
+    void on(const MemberId& from, const messages::EndpointListMessage& message);
     void on_peer_connected(const MemberId& member);
     void on_state(const replication::Position& position, const configuration::ControlState& state);
-    void on_directory(const http_server::Request& request, const http_server::Respond& respond) const;
     CoreMesh::Callbacks mesh_callbacks();
-    distribution::SchedulerHub::Callbacks hub_callbacks();
+    distribution::SchedulerSessions::Callbacks session_callbacks();
 
     std::function<void(std::size_t)> counter(const char* kind, metrics::Crossing crossing);
     void refresh_levels();
@@ -62,21 +75,20 @@
     MemberId self_;
     CoreNode node_;
     CoreMesh mesh_;
-    distribution::SchedulerHub hub_;
-    std::map<MemberId, distribution::CoreMember> places_; // as members said of themselves
+    distribution::SchedulerSessions sessions_;
+    std::map<MemberId, messages::CoreMember> member_locations_; // as members said of themselves
     std::map<distribution::SessionId, transport::FrameConnectionPtr> schedulers_;
     distribution::SessionId last_session_ = 0;
-    LeaseGossip leases_;
-    std::vector<MemberId> told_core_;
-    ListOwners lists_;
-    std::set<transport::FrameConnectionPtr> unnamed_; // accepted, and have not said who they are
+    LeaseReplicator leases_;
+    std::vector<MemberId> announced_peers_;
+    EndpointListService lists_;
     SteadyTimer timer_;
-    std::uint64_t ticks_ = 0;
-    std::optional<Clock::time_point> left_at_;
-    transport::FrameListener listener_;
+    std::chrono::milliseconds nominal_uptime_{0}; // ticks so far, as if none had been late
+    std::optional<Clock::time_point> shutdown_began_;
+    ConnectionAcceptor acceptor_;
     OperatorApi operator_api_;
     http_server::Server control_server_;
-    std::optional<http_server::Server> directory_server_;
+    std::optional<DirectoryService> directory_; // none where the settings name no port for it
     metrics::MetricsServer metrics_server_;
 };
 
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -1,8 +1,9 @@
-// The connections between core members. Each member dials every other that it knows of, and sends on the
-// connection that it dialled; what it accepted it only reads. One thread.
+// The connections between core members, a full mesh: each member dials every peer and sends on the connection
+// that it dialled; from connections that it accepted it only reads (control/connection_acceptor.h). One
+// thread.
 #pragma once
 
-#include "system/distribution/push_messages.h"
+#include "system/messages/messages.h"
 #include "system/transport/frame_connection.h"
 
 #include <functional>
@@ -15,8 +16,6 @@
 
 using MemberId = std::string; // control endpoint
 
-inline constexpr std::size_t most_core_members = 64;
-
 class CoreMesh {
   public:
     struct Callbacks {
@@ -27,16 +26,18 @@
     };
 
     // `internal_port`: where core members listen for each other, alike on all machines.
-    // `self`: told to the members that it dials.
-    CoreMesh(asio::io_context& loop, distribution::CoreMember self, std::uint16_t internal_port,
+    // `self`: how this member introduces itself.
+    CoreMesh(asio::io_context& loop, messages::CoreMember self, std::uint16_t internal_port,
              Callbacks callbacks);
 
-    // Keeps trying to reach this member from now on. False where it is no member's id, or there are too many.
-    bool know(const MemberId& member);
-    // Dials whom it is not connected to; called now and then.
+    // Keeps a connection to this member from now on. False where it is this member itself or no endpoint, or
+    // there are too many.
+    bool add_peer(const MemberId& member);
+    // Dials the peers that it is not connected to; to be called often.
+    // A message to a peer that is not connected is dropped.
     void maintain();
-    void send(const MemberId& to, const nlohmann::json& message);
-    void broadcast(const nlohmann::json& message);
+    void send(const MemberId& to, const messages::CoreMessage& message);
+    void broadcast(const messages::CoreMessage& message);
     std::vector<MemberId> connected() const;
 
   private:
@@ -47,7 +48,7 @@
     void dial(const MemberId& member);
 
     asio::io_context& loop_;
-    distribution::CoreMember self_;
+    messages::CoreMember self_;
     std::uint16_t internal_port_;
     Callbacks callbacks_;
     std::map<MemberId, Link> links_;
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -2,6 +2,8 @@
 
 #include "common/identity/random_identity.h"
 
+#include "system/logging/log.h"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -26,7 +28,7 @@
 CoreNode::CoreNode(asio::io_context& loop, const settings::Settings& settings, Callbacks callbacks)
     : self_(settings::to_text(settings.control)), callbacks_(std::move(callbacks)),
       replica_(options_of(settings)), orders_([this](replication::Event event) { feed(std::move(event)); }),
-      disk_(loop, settings.data_path, [this](replication::Event event) { feed(std::move(event)); }) {}
+      store_(loop, settings.data_path, [this](replication::Event event) { feed(std::move(event)); }) {}
 
 // Events that actions give rise to wait for their turn: the replica is never entered twice.
 void CoreNode::feed(replication::Event event) {
@@ -47,7 +49,7 @@
 void CoreNode::carry_out(const replication::Action& action) {
     if (const auto* send = std::get_if<replication::Send>(&action))
         return callbacks_.send(send->to, send->message);
-    if (const auto* save = std::get_if<replication::Save>(&action)) return disk_.save(*save);
+    if (const auto* save = std::get_if<replication::Save>(&action)) return store_.save(*save);
     if (const auto* committed = std::get_if<replication::Committed>(&action)) return orders_.on(*committed);
     if (const auto* undecided = std::get_if<replication::OutcomeUnknown>(&action))
         return orders_.on(*undecided);
@@ -60,8 +62,7 @@
     const replication::ReplicatedState& committed = replica_.committed();
     const auto state = configuration::decode(*committed.content);
     if (!state) {
-        fmt::print(stderr, "level=error event=state-unreadable member={} detail=\"{}\"\n", self_,
-                   state.error().detail);
+        logging::error("state-unreadable").field("member", self_).text("detail", state.error().detail);
         return;
     }
     orders_.on_state(state.value(), committed.position);
@@ -75,11 +76,14 @@
     const bool rose = role == replication::Role::primary && role != last_role_;
     last_role_ = role;
     last_epoch_ = record.epoch;
-    fmt::print(
-        stderr,
-        "level=info event=role member={} role={} reason={} epoch={} primary={} in_sync={} witnesses={}\n",
-        self_, replication::name_of(role), replica_.role_reason(), record.epoch, record.primary,
-        fmt::join(record.in_sync, ","), fmt::join(record.witnesses, ","));
+    logging::info("role")
+        .field("member", self_)
+        .field("role", replication::name_of(role))
+        .field("reason", replica_.role_reason())
+        .field("epoch", record.epoch)
+        .field("primary", record.primary)
+        .field("in_sync", fmt::format("{}", fmt::join(record.in_sync, ",")))
+        .field("witnesses", fmt::format("{}", fmt::join(record.witnesses, ",")));
     if (rose) callbacks_.on_primary();
 }
 
--- /dev/null
+++ b/src/system/control/endpoint_list_service.h
@@ -0,0 +1,62 @@
+// The platform's endpoint lists at this core member. The primary assigns each zone to a member, that member
+// polls the platform for it and publishes the list, and every member keeps the newest list of each zone. One
+// thread.
+#pragma once
+
+#include "system/control/platform_poller.h"
+#include "system/discovery/instances.h"
+#include "system/messages/messages.h"
+#include "system/ownership/ownership.h"
+
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+namespace willowrill::control {
+
+class EndpointListService {
+  public:
+    struct Callbacks {
+        std::function<void(const messages::EndpointListMessage&)> broadcast; // to all other core members
+        std::function<void(const discovery::ZoneList&)> changed;
+    };
+    EndpointListService(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
+                        Callbacks callbacks);
+
+    void tick() { poller_.tick(Clock::now()); }
+    // As the primary of this epoch, assigns the zones to these members and publishes the assignments.
+    void assign(std::uint64_t epoch, const std::vector<std::string>& live);
+    // Another member is the primary.
+    void stop_assigning() { assigner_.reset(); }
+    // A message of another member.
+    void on_message(const messages::EndpointListMessage& message);
+    // All lists, for a member that has just connected.
+    std::vector<messages::ZoneListUpdate> zone_list_updates() const;
+
+  private:
+    using Clock = std::chrono::steady_clock;
+    struct PublishedZone {
+        std::vector<discovery::Instance> instances;
+        Clock::time_point at;
+    };
+    void on(const messages::RoleAssignments& roles);
+    void on(const messages::ZoneListUpdate& update) { apply_list(update.list); }
+    void on(const messages::ZoneListUnchanged& unchanged);
+    void on_own_list(const discovery::ZoneList& list);
+    void apply_list(const discovery::ZoneList& list);
+
+    std::string self_;
+    std::vector<std::string> zones_;
+    Callbacks callbacks_;
+    discovery::Catalogue catalogue_;
+    std::map<std::string, PublishedZone> published_;
+    PlatformPoller poller_;
+    std::optional<ownership::RoleAssigner> assigner_;
+    std::uint64_t assigner_epoch_ = 0;
+    std::map<std::string, Clock::time_point>
+        list_sent_at_; // when a zone's whole list was last sent to the core
+};
+
+} // namespace willowrill::control
--- a/src/system/control/order_queue.cpp
+++ b/src/system/control/order_queue.cpp
@@ -8,7 +8,7 @@
 using errors::ErrorKind;
 
 void OrderQueue::submit(configuration::Order order, OnOrderDone done) {
-    if (waiting_.size() >= most_waiting_orders)
+    if (waiting_.size() >= max_waiting_orders)
         return done(Error{ErrorKind::not_primary, "too many orders are waiting"});
     waiting_.push_back({std::move(order), std::move(done)});
     if (!running_) start_next();
--- a/src/system/control/order_queue.h
+++ b/src/system/control/order_queue.h
@@ -19,7 +19,7 @@
 using OnOrderDone = std::function<void(OrderResult)>;
 using OnReadDone = std::function<void(errors::Result<std::string>)>;
 
-inline constexpr std::size_t most_waiting_orders = 64;
+inline constexpr std::size_t max_waiting_orders = 64;
 
 class OrderQueue {
   public:
@@ -59,7 +59,7 @@
     replication::Position position_;
     std::uint64_t next_id_ = 1;
     std::optional<Running> running_;
-    std::deque<Waiting> waiting_; // at most `most_waiting_orders`
+    std::deque<Waiting> waiting_; // at most `max_waiting_orders`
     std::map<std::uint64_t, OnReadDone> reads_;
 };
 
--- a/src/system/control/disk_worker.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -1,6 +1,6 @@
-#include "system/control/disk_worker.h"
+#include "system/control/replica_store_thread.h"
 
-#include <fmt/format.h>
+#include "system/logging/log.h"
 
 #include <chrono>
 #include <condition_variable>
@@ -12,12 +12,12 @@
 namespace willowrill::control {
 namespace {
 
-constexpr std::chrono::milliseconds open_again{500};
+constexpr std::chrono::milliseconds reopen_period{500};
 
 } // namespace
 
 // What the thread and the loop have in common; outlives the worker where a call to the disk does not return.
-struct DiskWorker::Shared {
+struct ReplicaStoreThread::Shared {
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<replication::Save> requests; // bounded by the replica, which asks nothing of a silent disk
@@ -25,7 +25,7 @@
     std::filesystem::path folder;
     OnEvent on_event; // of the loop's thread alone
 
-    void tell(const std::shared_ptr<Shared>& self, replication::Event event) {
+    void post_event(const std::shared_ptr<Shared>& self, replication::Event event) {
         const std::lock_guard lock(mutex);
         if (loop == nullptr) return;
         asio::post(*loop, [self, event = std::move(event)] {
@@ -46,33 +46,33 @@
     // Whether the worker still wants it after the pause.
     bool pause() {
         std::unique_lock lock(mutex);
-        return !changed.wait_for(lock, open_again, [this] { return loop == nullptr; });
+        return !changed.wait_for(lock, reopen_period, [this] { return loop == nullptr; });
     }
 
-    std::unique_ptr<Disk> open() {
-        for (std::string told;;) {
-            auto disk = Disk::open(folder);
-            if (disk) return std::move(disk.value());
-            if (std::exchange(told, disk.error().detail) != disk.error().detail)
-                fmt::print(stderr, "level=error event=disk-unusable detail=\"{}\"\n", told);
+    std::unique_ptr<ReplicaStore> open() {
+        for (std::string logged;;) {
+            auto store = ReplicaStore::open(folder);
+            if (store) return std::move(store.value());
+            if (std::exchange(logged, store.error().detail) != store.error().detail)
+                logging::error("disk-unusable").text("detail", logged);
             if (!pause()) return nullptr;
         }
     }
 
     static void run(const std::shared_ptr<Shared>& self) {
-        const std::unique_ptr<Disk> disk = self->folder.empty() ? nullptr : self->open();
-        if (!disk && !self->folder.empty()) return;
-        self->tell(self, disk ? disk->load() : replication::Loaded{});
+        const std::unique_ptr<ReplicaStore> store = self->folder.empty() ? nullptr : self->open();
+        if (!store && !self->folder.empty()) return;
+        self->post_event(self, store ? store->load() : replication::Loaded{});
         while (const auto request = self->next()) {
-            if (!disk || disk->save(*request))
-                self->tell(self, replication::Saved{request->ticket});
+            if (!store || store->save(*request))
+                self->post_event(self, replication::Saved{request->ticket});
             else
-                self->tell(self, replication::SaveFailed{request->ticket});
+                self->post_event(self, replication::SaveFailed{request->ticket});
         }
     }
 };
 
-DiskWorker::DiskWorker(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event)
+ReplicaStoreThread::ReplicaStoreThread(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event)
     : shared_(std::make_shared<Shared>()) {
     shared_->loop = &loop;
     shared_->folder = std::move(folder);
@@ -80,14 +80,14 @@
     std::thread(Shared::run, shared_).detach();
 }
 
-DiskWorker::~DiskWorker() {
+ReplicaStoreThread::~ReplicaStoreThread() {
     const std::lock_guard lock(shared_->mutex);
     shared_->loop = nullptr;
     shared_->on_event = nullptr;
     shared_->changed.notify_all();
 }
 
-void DiskWorker::save(replication::Save request) {
+void ReplicaStoreThread::save(replication::Save request) {
     const std::lock_guard lock(shared_->mutex);
     shared_->requests.push_back(std::move(request));
     shared_->changed.notify_all();
--- a/src/system/data/client_listener.cpp
+++ b/src/system/data/client_listener.cpp
@@ -14,7 +14,7 @@
 
 // Each client may need a connection to a worker too.
 std::size_t max_clients(const settings::Settings& settings) {
-    return (settings.most_files - descriptors_for_others) / 2;
+    return (settings.max_files - descriptors_for_others) / 2;
 }
 
 void log_failure(const std::exception_ptr& failure) {
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -1,10 +1,6 @@
 #include "system/data/data_plane.h"
 
 #include "common/identity/random_identity.h"
-
-#include "system/discovery/codec.h"
-#include "system/distribution/held_state.h"
-#include "system/distribution/push_messages.h"
 #include "system/logging/log.h"
 #include "system/membership/codec.h"
 
@@ -39,6 +35,10 @@
     return static_cast<std::uint16_t>(settings.first_internal_port + load_report_port_offset);
 }
 
+void log_unreadable_configuration(const errors::Error& error) {
+    logging::error("configuration-unreadable").text("detail", error.detail);
+}
+
 } // namespace
 
 DataPlane::DataPlane(asio::io_context& loop, settings::Settings settings, std::string settings_path,
@@ -60,10 +60,10 @@
 CoreConnection::Callbacks DataPlane::core_callbacks() {
     CoreConnection::Callbacks callbacks;
     callbacks.lease = [this] { return lease(); };
-    callbacks.holds = [this] { return active_position(); };
-    callbacks.lacks = [this] { return std::exchange(lacks_, {}); };
+    callbacks.active_position = [this] { return active_position(); };
+    callbacks.resync = [this] { return std::exchange(resync_, {}); };
     callbacks.session_began = [this] { members_.begin_session(); };
-    callbacks.on_push = [this](const json& message) { on_push(message); };
+    callbacks.on_update = [this](const messages::CoreUpdate& update) { on_core_update(update); };
     callbacks.seeds = [this] {
         reload_settings(); // the file may have changed without a signal; a core member is looked for rarely
         return settings_.seeds;
@@ -161,37 +161,50 @@
     change_phase(Phase::leaving);
 }
 
-void DataPlane::on_push(const json& message) {
-    const auto type = message.at("type").get<std::string>();
-    if (type == "state" || type == "state-change") return on_state(message);
-    if (type == "members" || type == "members-change") return on_members(message);
-    if (type == "zone") return on_zone(message.at("list").get<discovery::ZoneList>());
+// ---- What the core member sends --------------------------------------------------------------------------
+
+void DataPlane::on_core_update(const messages::CoreUpdate& update) {
+    std::visit([this](const auto& one) { on(one); }, update);
 }
 
-void DataPlane::ask_whole(const char* what) {
-    lacks_.insert(what);
+// Renews at once, so that the core member hears of it.
+void DataPlane::request_snapshot(bool messages::ResyncRequest::*what) {
+    resync_.*what = true;
     core_.renew_now();
 }
 
-void DataPlane::on_state(const json& message) {
-    const ActiveConfiguration* held = context_.active_configuration.get();
-    auto push = distribution::read_state_push(message, held == nullptr ? nullptr : &held->position,
-                                              held == nullptr ? nullptr : &held->configuration);
-    if (!push) {
-        fmt::print(stderr, "level=error event=configuration-unreadable detail=\"{}\"\n", push.error().detail);
-        if (message.at("type") == "state-change") ask_whole(distribution::lacks_state);
-        return;
-    }
-    if (std::holds_alternative<distribution::LacksBase>(push.value()))
-        return ask_whole(distribution::lacks_state);
-    auto* next = std::get_if<distribution::HeldState>(&push.value());
-    if (next == nullptr) return;
-    if (context_.active_configuration) assume_cold(context_.active_configuration->evacuated, next->evacuated);
+std::optional<distribution::ActiveState> DataPlane::active_state() const {
+    const ActiveConfiguration* active = context_.active_configuration.get();
+    if (active == nullptr) return std::nullopt;
+    return distribution::ActiveState{active->position, &active->configuration};
+}
+
+void DataPlane::on(const messages::StateSnapshot& snapshot) {
+    auto result = distribution::apply(snapshot, active_state());
+    if (!result) return log_unreadable_configuration(result.error());
+    if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
+        put_in_force(std::move(*update), false);
+}
+
+void DataPlane::on(const messages::StateDelta& delta) {
+    auto result = distribution::apply(delta, active_state());
+    if (!result) log_unreadable_configuration(result.error());
+    if (!result || std::holds_alternative<distribution::MissingBase>(result.value()))
+        return request_snapshot(&messages::ResyncRequest::state);
+    if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
+        put_in_force(std::move(*update), true);
+}
+
+void DataPlane::put_in_force(distribution::StateUpdate update, bool is_delta) {
+    if (context_.active_configuration)
+        assume_cold(context_.active_configuration->evacuated, update.evacuated);
     context_.active_configuration = std::make_shared<const ActiveConfiguration>(
-        next->position, std::move(next->configuration), std::move(next->evacuated));
-    fmt::print(stderr, "level=info event=configuration node={} version={} evacuated={} change={}\n",
-               settings_.node_name, context_.active_configuration->configuration.version,
-               context_.active_configuration->evacuated.size(), message.at("type") == "state-change");
+        update.position, std::move(update.configuration), std::move(update.evacuated));
+    logging::info("configuration")
+        .field("node", settings_.node_name)
+        .field("version", context_.active_configuration->configuration.version)
+        .field("evacuated", context_.active_configuration->evacuated.size())
+        .field("change", is_delta);
 }
 
 // Workers of a zone that is taken back may have turned cold a moment ago, before the platform's list says so.
@@ -206,22 +219,32 @@
     }
 }
 
-void DataPlane::on_members(const json& message) {
-    if (!members_.take(message)) return ask_whole(distribution::lacks_members);
+void DataPlane::on(const messages::MembersSnapshot& snapshot) {
+    members_.apply(snapshot);
+    on_members_changed();
+}
+
+void DataPlane::on(const messages::MembersDelta& delta) {
+    if (!members_.apply(delta)) return request_snapshot(&messages::ResyncRequest::members);
+    on_members_changed();
+}
+
+void DataPlane::on_members_changed() {
     const auto members = members_.members();
     const Clock::time_point now = Clock::now();
     context_.scheduler_names.clear();
     for (const membership::Lease& member : members)
         context_.scheduler_names.insert(member.node);
-    if (members.size() >= most_schedulers_ || now - most_since_ > schedulers_remembered) {
-        most_schedulers_ = members.size();
-        most_since_ = now;
+    if (members.size() >= max_schedulers_ || now - max_since_ > schedulers_remembered) {
+        max_schedulers_ = members.size();
+        max_since_ = now;
     }
-    context_.schedulers = std::max<std::size_t>(1, most_schedulers_);
+    context_.schedulers = std::max<std::size_t>(1, max_schedulers_);
     load_reports_.on_members(members);
 }
 
-void DataPlane::on_zone(const discovery::ZoneList& list) {
+void DataPlane::on(const messages::ZoneListUpdate& update) {
+    const discovery::ZoneList& list = update.list;
     if (!catalogue_.take(list)) return;
     const routing::Time now = steady_now();
     std::set<std::string> listed;
--- a/src/system/data/load_report_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -1,6 +1,6 @@
 #include "system/data/load_report_exchange.h"
 
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
 void LoadReportExchange::arrange_subscriptions(const std::string& service,
                                                const std::set<std::string>& backed_off) {
     const auto order =
-        distribution::homes(assignment_.members(), service, context_.settings.zone, backed_off);
+        distribution::home_schedulers(assignment_.members(), service, context_.settings.zone, backed_off);
     const bool is_home = order.empty() || order.front().node == context_.settings.node_name;
     if (is_home)
         subscribe_to_other_zones(service, backed_off);
@@ -80,7 +80,7 @@
     end_subscriptions([&](const FeedKey& key) { return key == FeedKey{service, own_zone}; });
     for (const auto& [zone, region] : context_.settings.regions) {
         if (zone == own_zone) continue;
-        const auto homes = distribution::homes(assignment_.members(), service, zone, backed_off);
+        const auto homes = distribution::home_schedulers(assignment_.members(), service, zone, backed_off);
         if (!homes.empty()) subscription({service, zone}).subscribe_to(homes.front());
     }
 }
--- a/src/system/data/load_report_publication.cpp
+++ b/src/system/data/load_report_publication.cpp
@@ -38,7 +38,7 @@
 }
 
 void LoadReportPublication::accept(const transport::FrameConnectionPtr& connection) {
-    if (subscribers_.size() >= membership::most_leases) return connection->close();
+    if (subscribers_.size() >= membership::max_leases) return connection->close();
     connection->start(
         [this, weak = std::weak_ptr(connection)](const nlohmann::json& message) {
             if (const auto self = weak.lock()) on_message(self, message);
--- a/src/system/data/probe_assignment.cpp
+++ b/src/system/data/probe_assignment.cpp
@@ -1,6 +1,6 @@
 #include "system/data/probe_assignment.h"
 
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 
 namespace willowrill::data {
 
--- a/src/system/data/proxied_request.cpp
+++ b/src/system/data/proxied_request.cpp
@@ -85,8 +85,8 @@
 
 bool ProxiedRequest::may_wait_for_worker() const {
     if (writer_.head_sent() || !request_.retry.nothing_sent()) return false;
-    const Time longest_wait = std::min(request_.route.target / worker_wait_share, max_worker_wait);
-    return steady_now() - arrived_ < longest_wait;
+    const Time max_wait = std::min(request_.route.target / worker_wait_share, max_worker_wait);
+    return steady_now() - arrived_ < max_wait;
 }
 
 asio::awaitable<void> ProxiedRequest::wait_for_worker() {
--- a/src/system/data/upstream_relay.cpp
+++ b/src/system/data/upstream_relay.cpp
@@ -59,7 +59,7 @@
                                                          const std::string& events) {
     note_first_event();
     // From now on only silence ends it early, and only where it can be resumed.
-    start_timer(request_.retry.may_resume(), 2 * request_.route.longest_gap);
+    start_timer(request_.retry.may_resume(), 2 * request_.route.max_gap);
     bool written = true;
     if (!writer_.head_sent()) written = co_await writer_.write_head(response.head());
     if (written) written = co_await writer_.write_chunk(events);
--- a/src/system/membership/lease_table.cpp
+++ b/src/system/membership/lease_table.cpp
@@ -8,7 +8,7 @@
         return false;
     const auto found = entries_.find(lease.node);
     if (found == entries_.end()) {
-        if (entries_.size() >= most_leases) return false;
+        if (entries_.size() >= max_leases) return false;
         entries_.emplace(lease.node, Entry{lease, now});
         return true;
     }
@@ -34,7 +34,7 @@
     const auto found = entries_.find(node);
     if (found == entries_.end() || found->second.lease.incarnation != incarnation) return false;
     entries_.erase(found);
-    if (ended_incarnations_.size() >= most_leases) ended_incarnations_.clear();
+    if (ended_incarnations_.size() >= max_leases) ended_incarnations_.clear();
     ended_incarnations_[node] = incarnation;
     return true;
 }
--- a/src/system/membership/lease_table.h
+++ b/src/system/membership/lease_table.h
@@ -1,5 +1,5 @@
 // Membership by leases: each scheduler renews its own at a core member, and core members replicate them to
-// each other. Knows no connections and no clock but the times it is given. Bounded: at most `most_leases`.
+// each other. Knows no connections and no clock but the times it is given. Bounded: at most `max_leases`.
 // One thread.
 #pragma once
 
@@ -35,7 +35,7 @@
 // Where a renewal comes from: its holder, or another core member, by which it may come late.
 enum class Source { holder, core_member };
 
-inline constexpr std::size_t most_leases = 4096;
+inline constexpr std::size_t max_leases = 4096;
 
 class LeaseTable {
   public:
--- a/src/system/settings/settings.h
+++ b/src/system/settings/settings.h
@@ -31,7 +31,7 @@
     double retry_slack = 20;
     double cold_excess = 1.5;
     double cold_slack = 5;
-    std::chrono::milliseconds longest_ttl{5000};
+    std::chrono::milliseconds max_ttl{5000};
 };
 
 struct Settings {
@@ -50,7 +50,7 @@
     Endpoint platform;
     double platform_calls_per_s = 10;
     std::size_t memory_mb = 256;
-    std::size_t most_files = 1024;
+    std::size_t max_files = 1024;
     Timers timers;
 
     const std::string& region_of(const std::string& other_zone) const;
--- a/src/system/simulation/fault_injector.cpp
+++ b/src/system/simulation/fault_injector.cpp
@@ -48,7 +48,7 @@
 }
 
 Time FaultInjector::some_duration() {
-    const auto longest = scenario_.longest_fault.count();
+    const auto longest = scenario_.max_fault.count();
     return Time(200 + queue_.uniform(queue_.chance() < 0.1 ? 4 * longest : longest));
 }
 
--- a/src/system/simulation/history.cpp
+++ b/src/system/simulation/history.cpp
@@ -95,8 +95,8 @@
         violation(fmt::format("{} has a version {} that nobody sent", scheduler, configuration.version));
 }
 
-void History::in_force(const std::string& scheduler, Version version,
-                       const std::set<std::string>& evacuated) {
+void History::active_configuration(const std::string& scheduler, Version version,
+                                   const std::set<std::string>& evacuated) {
     Version due = 0;
     for (const auto& [acknowledged, at] : acknowledged_at_)
         if (queue_.now() - at > max_time_to_force) due = std::max(due, acknowledged);
--- a/src/system/simulation/history.h
+++ b/src/system/simulation/history.h
@@ -64,7 +64,8 @@
     // What a scheduler has in force now, put together of changes or whole, is what operators sent.
     void pushed(const std::string& scheduler, const configuration::Configuration& configuration);
     // What a scheduler has in force while everything is calm; "" for one that knows nothing.
-    void in_force(const std::string& scheduler, Version version, const std::set<std::string>& evacuated);
+    void active_configuration(const std::string& scheduler, Version version,
+                              const std::set<std::string>& evacuated);
 
     Version newest_acknowledged() const { return newest_acknowledged_; }
     Version newest_seen() const { return newest_seen_; }
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -1,5 +1,7 @@
 #include "system/simulation/member.h"
 
+#include "system/messages/codec.h"
+
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -43,7 +45,7 @@
     }
     replica_ = std::make_unique<Replica>(options);
     orders_ = std::make_unique<control::OrderQueue>([this](Event event) { feed(std::move(event)); });
-    hub_ = std::make_unique<distribution::SchedulerHub>(distribution::SchedulerHub::Callbacks{
+    hub_ = std::make_unique<distribution::SchedulerSessions>(distribution::SchedulerSessions::Callbacks{
         [this](distribution::SessionId session, const transport::Frame& frame) {
             const auto found = schedulers_.find(session);
             if (found != schedulers_.end()) found->second.send(transport::message_in(frame));
@@ -55,9 +57,9 @@
         [this] { return environment_.break_always_current || replica_->current(environment_.queue.now()); },
         [this] {
             const auto place = [](const MemberId& member) {
-                return distribution::CoreMember{member, member.substr(0, member.find(':')), "region"};
+                return messages::CoreMember{member, member.substr(0, member.find(':')), "region"};
             };
-            std::vector<distribution::CoreMember> out{place(id_)};
+            std::vector<messages::CoreMember> out{place(id_)};
             for (const auto& [member, link] : links_)
                 out.push_back(place(member));
             return out;
@@ -288,7 +290,7 @@
 }
 
 void Member::on_scheduler_message(distribution::SessionId id, const nlohmann::json& message) {
-    hub_->on_message(id, message);
+    hub_->on_message(id, messages::decode_scheduler_message(message));
 }
 
 void Member::on_scheduler_closed(distribution::SessionId id) {
--- a/src/system/simulation/scenario.h
+++ b/src/system/simulation/scenario.h
@@ -16,7 +16,7 @@
     std::size_t schedulers = 3;
     Time length{30000};
     Time fault_gap{2500}; // mean time between faults; 0 for none
-    Time longest_fault{6000};
+    Time max_fault{6000};
     bool wipes = true;        // disks are lost too, as many at once as are tolerated
     bool herds = true;        // all processes are killed, or all lose power, now and then
     bool disk_faults = true;  // disks refuse, stall and are slow
--- a/src/system/simulation/stability_monitor.cpp
+++ b/src/system/simulation/stability_monitor.cpp
@@ -84,7 +84,8 @@
             return environment_.network.reaches(scheduler.node(), member->node());
         });
         if (in_touch)
-            environment_.history.in_force(scheduler.name(), scheduler.version(), scheduler.evacuated());
+            environment_.history.active_configuration(scheduler.name(), scheduler.version(),
+                                                      scheduler.evacuated());
     }
 }
 
--- a/tests/system/configuration/configuration_test.cpp
+++ b/tests/system/configuration/configuration_test.cpp
@@ -52,7 +52,7 @@
     expect_text(first.host.c_str(), "h.example");
     cr_assert(first.route_class == RouteClass::streaming && first.repeatable() && first.affinity);
     cr_assert_eq(first.distribution.size(), 2U);
-    cr_assert_eq(first.longest_gap.count(), 400);
+    cr_assert_eq(first.max_gap.count(), 400);
     cr_assert_eq(first.home_regions.size(), 1U);
     cr_assert_eq(read.find_service("s")->cold_start.count(), 3000);
     cr_assert_eq(read.find_service("s")->engine_capacity, 64U);
@@ -195,11 +195,11 @@
 // A thousand orders and more: the newest are acknowledged again, of the oldest nothing is claimed either way.
 Test(orders, one_sent_again_is_acknowledged_or_unclear_and_never_refused) {
     ControlState state;
-    const int orders = static_cast<int>(most_taken) + 200;
+    const int orders = static_cast<int>(max_taken) + 200;
     for (int version = 1; version <= orders; ++version)
         state = applied(state, change(static_cast<Version>(version - 1), version));
     state = decode(encode(state)).value();
-    cr_assert_eq(state.taken.size(), most_taken);
+    cr_assert_eq(state.taken.size(), max_taken);
     int acknowledged = 0, unclear = 0;
     for (int version = 1; version <= orders; ++version) {
         const auto again =
@@ -213,7 +213,7 @@
             ++unclear;
         }
     }
-    cr_assert_eq(acknowledged, static_cast<int>(most_taken));
+    cr_assert_eq(acknowledged, static_cast<int>(max_taken));
     cr_assert_eq(unclear, 200);
     // One that was surely not taken is refused.
     const auto late =
@@ -278,8 +278,8 @@
         cr_assert_eq(willowrill::errors::answer_to(result.error().kind).status, 413U);
     };
     const ControlState state = applied({}, PutConfiguration{0, with_routes(5 * 4 * 830, 0)});
-    cr_assert_gt(encode(state).size(), most_record_bytes);
-    cr_assert_leq(encode(state).size(), most_state_bytes);
+    cr_assert_gt(encode(state).size(), max_record_bytes);
+    cr_assert_leq(encode(state).size(), max_state_bytes);
     refused(100'000, 0);
     refused(10'000, 320);
 }
--- a/tests/system/replication/checker_test.cpp
+++ b/tests/system/replication/checker_test.cpp
@@ -57,7 +57,7 @@
 Test(checker, sees_members_that_call_an_old_state_current) {
     simulation::Scenario scenario;
     scenario.break_always_current = true;
-    scenario.longest_fault = Time(20000);
+    scenario.max_fault = Time(20000);
     scenario.length = Time(60000);
     scenario.fault_gap = Time(8000);
     cr_assert_gt(broken(scenario, 60), 0);
--- a/tests/system/replication/cluster_test.cpp
+++ b/tests/system/replication/cluster_test.cpp
@@ -59,7 +59,7 @@
 
 Test(cluster, long_cuts) {
     simulation::Scenario scenario;
-    scenario.longest_fault = Time(20000);
+    scenario.max_fault = Time(20000);
     scenario.length = Time(60000);
     scenario.fault_gap = Time(8000);
     expect_kept(scenario, 1, 30);
--- a/tests/system/routing/homes_test.cpp
+++ b/tests/system/routing/homes_test.cpp
@@ -1,5 +1,5 @@
 // Which scheduler is home to a service in a zone, and who probes a zone without schedulers.
-#include "system/distribution/homes.h"
+#include "system/distribution/home_schedulers.h"
 
 #include "support/expect.h"
 
@@ -26,9 +26,9 @@
 Test(homes, a_backed_off_home_comes_last) {
     const std::vector<membership::Lease> members{member("a", "z1", "r"), member("b", "z1", "r"),
                                                  member("c", "z1", "r"), member("d", "z2", "r")};
-    const auto order = distribution::homes(members, "s", "z1", {});
+    const auto order = distribution::home_schedulers(members, "s", "z1", {});
     cr_assert_eq(order.size(), 3U);
-    const auto round = distribution::homes(members, "s", "z1", {order[0].node});
+    const auto round = distribution::home_schedulers(members, "s", "z1", {order[0].node});
     expect_text(round[0].node.c_str(), order[1].node.c_str());
     expect_text(round[2].node.c_str(), order[0].node.c_str());
 }
--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -1,7 +1,7 @@
 // The ring of records: what is read after a tear at any byte, and what is told apart.
 #include "system/compression/compression.h"
 #include "system/configuration/control_state.h"
-#include "system/control/disk.h"
+#include "system/control/replica_store.h"
 #include "system/storage/record_ring.h"
 
 #include "support/expect.h"
@@ -190,8 +190,8 @@
 
 namespace {
 
-std::unique_ptr<willowrill::control::Disk> open_disk(const Folder& folder) {
-    auto disk = willowrill::control::Disk::open(folder.path());
+std::unique_ptr<willowrill::control::ReplicaStore> open_disk(const Folder& folder) {
+    auto disk = willowrill::control::ReplicaStore::open(folder.path());
     cr_assert(static_cast<bool>(disk));
     return std::move(disk.value());
 }
@@ -230,7 +230,7 @@
             out.push_back(static_cast<char>(random()));
         return std::make_shared<const std::string>(std::move(out));
     };
-    const auto large = random_state(willowrill::configuration::most_record_bytes);
+    const auto large = random_state(willowrill::configuration::max_record_bytes);
     const auto too_large = random_state(2 * large->size());
     cr_assert(disk->save({1, ReplicatedState{{4, 1}, large}}));
     cr_assert_not(disk->save({2, ReplicatedState{{4, 2}, too_large}}));
@@ -243,8 +243,7 @@
 Test(disk, a_long_state_is_packed_and_a_damaged_one_is_not_taken_for_another) {
     using namespace willowrill::replication;
     const Folder folder;
-    const auto content =
-        std::make_shared<const std::string>(willowrill::configuration::most_state_bytes, 'x');
+    const auto content = std::make_shared<const std::string>(willowrill::configuration::max_state_bytes, 'x');
     cr_assert(open_disk(folder)->save({1, ReplicatedState{{4, 1}, content}}));
     cr_assert(*open_disk(folder)->load().state->content == *content);
     const std::string packed = willowrill::compression::compress(*content);
