--- a/src/system/data/upstream_relay.cpp
+++ b/src/system/data/upstream_relay.cpp
@@ -52,7 +52,8 @@
         if (!timed_out_) writer_.set_client_gone();
         co_return false;
     }
-    co_return request_.events.rest().empty();
+    const bool all_relayed = request_.events.rest().empty();
+    co_return all_relayed;
 }
 
 asio::awaitable<bool> UpstreamAttempt::relay_event_bytes(WorkerResponse& response,
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -169,6 +169,7 @@
 
 void Member::gossip() {
     std::vector<MemberId> reached;
+    reached.reserve(links_.size());
     for (const auto& [id, link] : links_)
         reached.push_back(id);
     for (const MemberId& to : reached)
--- a/src/system/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -27,6 +27,7 @@
     environment_.network.start(node_);
     const auto hosts = [this] {
         std::vector<std::string> out;
+        out.reserve(environment_.seeds.size());
         for (const MemberId& seed : environment_.seeds)
             out.push_back(host_of(seed));
         return out;
--- a/tests/system/control/lease_replicator_test.cpp
+++ b/tests/system/control/lease_replicator_test.cpp
@@ -76,7 +76,7 @@
         if (at < 5000) cr_assert(core.nodes("y") == (Nodes{"a1", "a2"}), "at %d", at);
         if (at > 8000) cr_assert(core.nodes("y") == (Nodes{"a1"}), "at %d", at);
     }
-    cr_assert_lt(core.bytes, 20'000 / 700 * 120U, "%zu bytes", core.bytes);
+    cr_assert_lt(core.bytes, std::size_t{20'000 / 700} * 120U, "%zu bytes", core.bytes);
 }
 
 Test(lease_replicator, a_member_that_missed_deltas_requests_a_snapshot) {
--- a/tests/system/control/order_queue_test.cpp
+++ b/tests/system/control/order_queue_test.cpp
@@ -26,7 +26,7 @@
 Test(order_queue, an_order_is_confirmed_then_replicated_then_acknowledged) {
     FakeReplica fake;
     int done = 0;
-    fake.queue.submit(configuration::PutConfiguration{0, body}, [&](control::OrderResult result) {
+    fake.queue.submit(configuration::PutConfiguration{0, body}, [&](const control::OrderResult& result) {
         cr_assert(static_cast<bool>(result));
         ++done;
     });
@@ -43,7 +43,7 @@
 Test(order_queue, an_unknown_outcome_is_not_a_rejection) {
     FakeReplica fake;
     std::vector<errors::ErrorKind> kinds;
-    const auto note = [&](control::OrderResult result) { kinds.push_back(result.error().kind); };
+    const auto note = [&](const control::OrderResult& result) { kinds.push_back(result.error().kind); };
     fake.queue.submit(configuration::PutConfiguration{0, body}, note);
     fake.queue.submit(configuration::PutConfiguration{0, "{"}, note);
     fake.queue.on(replication::OutcomeUnknown{fake.last_confirm()});
@@ -58,7 +58,7 @@
     int refused = 0;
     for (std::size_t i = 0; i < control::max_waiting_orders + 3; ++i)
         fake.queue.submit(configuration::Evacuate{"z"},
-                          [&](control::OrderResult result) { refused += result ? 0 : 1; });
+                          [&](const control::OrderResult& result) { refused += result ? 0 : 1; });
     cr_assert_eq(fake.asked.size(), 1U, "the second waits for the first");
     cr_assert_eq(refused, 2);
 }
--- a/tests/system/data/worker_outcomes_test.cpp
+++ b/tests/system/data/worker_outcomes_test.cpp
@@ -27,6 +27,7 @@
     Execution on_kept; // on one that has
 };
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): a table of cases
 std::vector<Outcome> outcomes() {
     const auto responds = [](const std::string& text) {
         return Step{ReadAmount::all, Reaction::respond, text};
--- a/tests/system/distribution/core_session_test.cpp
+++ b/tests/system/distribution/core_session_test.cpp
@@ -18,6 +18,7 @@
 
 messages::LeaseAck lease_ack(bool current, const std::vector<std::string>& core) {
     std::vector<CoreMember> members;
+    members.reserve(core.size());
     for (const std::string& id : core)
         members.push_back({id, "", ""});
     return lease_ack(current, members);
--- a/tests/system/ownership/role_assigner_test.cpp
+++ b/tests/system/ownership/role_assigner_test.cpp
@@ -13,6 +13,7 @@
 
 Test(rendezvous_order, only_the_keys_of_a_removed_candidate_move) {
     std::vector<std::string> all;
+    all.reserve(10);
     for (int i = 0; i < 10; ++i)
         all.push_back("node-" + std::to_string(i));
     std::vector<std::string> fewer = all;
