--- a/src/lab/counts_experiment.cpp
+++ b/src/lab/counts_experiment.cpp
@@ -134,8 +134,7 @@
 
 } // namespace
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::vector<CountsResult> run(const CountsCase& one,
                               const std::function<void(const std::string&)>& progress) {
     World::Options options;
--- a/src/lab/live_experiment.cpp
+++ b/src/lab/live_experiment.cpp
@@ -73,8 +73,7 @@
     }
     // The truth is counted when a client has its answer, which is after its scheduler has counted: what lies
     // between makes low more than the truth for a moment, so jobs on their way are allowed for.
-    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with
-    // its package (docs/ROADMAP.md)
+    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
     void phase(const std::string& name, double length, bool load) {
         progress_(name);
         const net::Time begin = loop_.now();
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -98,8 +98,7 @@
 
 // One curve a way, over the number of instances, at one number of tenants; each point the median over the
 // seeds.
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::string script(const std::vector<CsvRow>& rows, const std::string& figure, const std::string& title,
                    const std::string& unit, double scale, double least, const std::string& tenants,
                    const std::string& file) {
@@ -150,8 +149,7 @@
     return draw(all) ? 0 : 1;
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 int command_line(int count, char** arguments) {
     CLI::App app(
         "willowrill-lab, the laboratory: what a change does, also at sizes that no machine here has.");
--- a/src/lab/spread/live.cpp
+++ b/src/lab/spread/live.cpp
@@ -244,8 +244,7 @@
 
 // --------------------------------------------------------------------------------------------------- run
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 Measures LiveWorld::run(const std::function<void(const std::string&)>& progress) {
     begun_ = loop_.now();
     for (std::size_t id = 0; id < experiment_.workers; ++id)
--- a/src/scheduler/config/settings.cpp
+++ b/src/scheduler/config/settings.cpp
@@ -186,8 +186,7 @@
     return out;
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 void read_decisions(const object& json, Settings& out) {
     Names& names = out.names;
     names.classes = names_in(json, "classes");
--- a/src/scheduler/counts/book.cpp
+++ b/src/scheduler/counts/book.cpp
@@ -122,8 +122,7 @@
     return theirs;
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::vector<Delta> Book::deltas(const std::vector<Want>& wants, std::size_t most_bytes,
                                 std::size_t most) const {
     std::vector<Delta> out;
@@ -265,8 +264,7 @@
 }
 
 // The changes of one section, all or none. The three lists are merged by their versions.
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 bool Book::apply(const News& news, const Section& section, Life& life, Time now) {
     if (section.to < section.from || section.from > life.version()) {
         ++(section.to < section.from ? statistics_.sections_bad : statistics_.sections_gap);
@@ -475,8 +473,7 @@
 // Each life's own cells add up. What a later life says of all lives up to a number is another bound on that
 // sum, and the larger of two lower bounds is one: nothing is counted twice, whatever is folded where, and
 // however much of it has arrived.
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::vector<std::uint64_t> Book::chain_sums(const Chain& chain, std::uint64_t last) const {
     std::vector<std::uint64_t> sums(names_.size() * outcomes, 0);
     struct Bound {
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -93,8 +93,7 @@
     return out + "]}\n";
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::string Fleet::figures() const {
     Figures out;
     const gossip::MeshCounters& mesh = mesh_.counters();
--- a/src/scheduler/net/connection.cpp
+++ b/src/scheduler/net/connection.cpp
@@ -103,8 +103,7 @@
     owner_.on_closed();
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 void Connection::on_ready(short events) {
     if (state_ == State::opening) {
         int error = 0;
--- a/src/scheduler/simulator_adapter/wire.cpp
+++ b/src/scheduler/simulator_adapter/wire.cpp
@@ -169,8 +169,7 @@
     return out;
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 Settings read_settings(const Json& event, Names& names) {
     const Json& json = need(event, "settings");
     if (!json.IsObject()) bad_field("settings", "an object");
@@ -487,8 +486,7 @@
     events_.clear();
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 void Instance::write(Writer& out) {
     const auto text = [&](const char* key, std::string_view value) {
         out.Key(key);
@@ -571,8 +569,7 @@
     return held;
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::string_view Host::handle_line(std::string& line) {
     rapidjson::MemoryPoolAllocator<> pool(buffers_->space.data(), buffers_->space.size());
     rapidjson::Document batch(&pool);
--- a/src/scheduler/swim/members.cpp
+++ b/src/scheduler/swim/members.cpp
@@ -177,8 +177,7 @@
         round_.insert(round_.begin() + random_(static_cast<std::uint32_t>(round_.size() + 1)), news.id);
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 void Swim::hear(Time now, const Member& news, std::uint64_t from_life, Actions& out) {
     if (news.id.name.empty() || news.id.name.size() > longest_name || news.id.life == 0 ||
         news.address.port == 0 || news.state > State::left)
--- a/tests/scheduler/counts/property_test.cpp
+++ b/tests/scheduler/counts/property_test.cpp
@@ -125,8 +125,7 @@
     });
 }
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 TEST_CASE("while lives last, the truth lies within the stated bounds, whoever is cut off") {
     check_property("bounds", 500, [] {
         constexpr std::size_t instances = 3;
--- a/tests/scheduler/dispatcher/property_test.cpp
+++ b/tests/scheduler/dispatcher/property_test.cpp
@@ -72,8 +72,7 @@
         pass(50ms);
     }
 
-    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with
-    // its package (docs/ROADMAP.md)
+    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
     void play(const Step& step) {
         Node& node = nodes_[step.a % nodes_.size()];
         switch (step.what) {
@@ -350,8 +349,7 @@
     }
 
     // From one moment at which something is due to the next.
-    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with
-    // its package (docs/ROADMAP.md)
+    // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
     void pass(Duration span) {
         const Time until = now + span;
         for (;;) {
@@ -453,8 +451,7 @@
     bool full = false;
 };
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): to be split with its
-// package (docs/ROADMAP.md)
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 void ordinary_path() {
     constexpr double slots = 8, step = 1 / slots;
     constexpr Time now = 100s;
--- a/tests/system/data/worker_outcomes_test.cpp
+++ b/tests/system/data/worker_outcomes_test.cpp
@@ -27,7 +27,7 @@
     Execution on_kept; // on one that has
 };
 
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): a table of cases
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 std::vector<Outcome> outcomes() {
     const auto responds = [](const std::string& text) {
         return Step{ReadAmount::all, Reaction::respond, text};
--- a/tests/system/routing/selector_test.cpp
+++ b/tests/system/routing/selector_test.cpp
@@ -165,8 +165,7 @@
 }
 
 // Random scenes: the selection is one of the best by a plain sum over those that may have the request.
-// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): the plain search is
-// spelled out
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 Test(selector, agrees_with_a_plain_search) {
     std::mt19937_64 random(5);
     for (int round = 0; round < 2000; ++round) {
