--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -51,7 +51,8 @@
       lists_(loop, settings_, metrics_,
              {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
               [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
-      timer_(loop), acceptor_(loop, settings_.address, settings_.first_internal_port, *this),
+      timer_(loop), schedule_(tick_period),
+      acceptor_(loop, settings_.address, settings_.first_internal_port, *this),
       operator_api_(node_, self_, zones_of(settings_), metrics_),
       control_server_(loop, settings_.control.host, settings_.control.port, {},
                       [this](const http_server::Request& request, const http_server::Respond& respond) {
@@ -84,11 +85,11 @@
     return {[this](const MemberId& member) { on_peer_connected(member); },
             [this](const MemberId& member) { node_.feed(replication::PeerDisconnected{member}); },
             [this](const MemberId& member) {
-                const auto place = member_locations_.find(member);
-                const bool known = place != member_locations_.end();
+                const auto location = member_locations_.find(member);
+                const bool known = location != member_locations_.end();
                 return counter("core", metrics::crossing(settings_.zone, settings_.region,
-                                                         known ? place->second.zone : "",
-                                                         known ? place->second.region : ""));
+                                                         known ? location->second.zone : "",
+                                                         known ? location->second.region : ""));
             }};
 }
 
@@ -117,8 +118,9 @@
 std::vector<messages::CoreMember> ControlPlane::reached_members() const {
     std::vector<messages::CoreMember> out;
     for (const MemberId& id : reached()) {
-        const auto place = member_locations_.find(id);
-        out.push_back(place == member_locations_.end() ? messages::CoreMember{id, "", ""} : place->second);
+        const auto location = member_locations_.find(id);
+        out.push_back(location == member_locations_.end() ? messages::CoreMember{id, "", ""}
+                                                          : location->second);
     }
     return out;
 }
@@ -145,25 +147,21 @@
     discover_peers();
 }
 
-bool ControlPlane::is_due(std::chrono::milliseconds period) const {
-    return nominal_uptime_ % period == std::chrono::milliseconds::zero();
-}
-
 void ControlPlane::tick() {
-    nominal_uptime_ += tick_period;
+    schedule_.advance();
     node_.tick();
     lists_.tick();
     leases_.expire(steady_now());
     sessions_.flush();
-    if (is_due(dial_period)) {
+    if (schedule_.is_due(dial_period)) {
         discover_peers();
         mesh_.maintain();
     }
-    if (is_due(lease_publish_period)) {
+    if (schedule_.is_due(lease_publish_period)) {
         leases_.publish();
         announce_peers();
     }
-    if (is_due(assignment_period)) assign_lists();
+    if (schedule_.is_due(assignment_period)) assign_lists();
     end_if_possible();
     timer_.expires_after(tick_period);
     timer_.async_wait([this](ErrorCode error) {
@@ -174,7 +172,7 @@
 // At a change, and periodically for members that missed one.
 void ControlPlane::announce_peers() {
     auto connected = mesh_.connected();
-    if (connected == announced_peers_ && !is_due(announcement_period)) return;
+    if (connected == announced_peers_ && !schedule_.is_due(announcement_period)) return;
     mesh_.broadcast(messages::CorePeers{connected});
     announced_peers_ = std::move(connected);
 }
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -16,6 +16,7 @@
 #include "system/settings/settings.h"
 #include "system/transport/frame_connection.h"
 #include "system/transport/frame_listener.h"
+#include "system/transport/tick_schedule.h"
 
 #include <chrono>
 #include <map>
@@ -46,7 +47,6 @@
     std::vector<MemberId> reached() const;
     std::vector<messages::CoreMember> reached_members() const;
     // Whether a tick that comes with this period, a multiple of its own, is due now.
-    bool is_due(std::chrono::milliseconds period) const;
 
     // ConnectionAcceptor::Handler
     bool on_core_member(const messages::CoreMember& member) override;
@@ -83,7 +83,7 @@
     std::vector<MemberId> announced_peers_;
     EndpointListService lists_;
     SteadyTimer timer_;
-    std::chrono::milliseconds nominal_uptime_{0}; // ticks so far, as if none had been late
+    transport::TickSchedule schedule_;
     std::optional<Clock::time_point> shutdown_began_;
     ConnectionAcceptor acceptor_;
     OperatorApi operator_api_;
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -52,7 +52,7 @@
                      on_readiness(request, respond);
                  }),
       metrics_server_(loop, settings_.address, metrics_port, context_.metrics, [this] { update_gauges(); }),
-      timer_(loop), next_sweep_(Clock::now() + sweep_period) {
+      timer_(loop), schedule_(tick_period) {
     core_.start();
     tick();
 }
@@ -116,9 +116,10 @@
 }
 
 void DataPlane::tick() {
+    schedule_.advance();
     const Clock::time_point now = Clock::now();
     if (phase_ == Phase::starting && knows_enough()) start_serving();
-    if (now >= next_sweep_) sweep(now);
+    if (schedule_.is_due(sweep_period)) sweep();
     if (phase_ == Phase::leaving) {
         const Clock::duration leaving_for = now - shutdown_began_;
         if (leaving_for >= client_redirect_timeout) client_listener_->stop_accepting();
@@ -135,8 +136,7 @@
     change_phase(Phase::ready);
 }
 
-void DataPlane::sweep(Clock::time_point now) {
-    next_sweep_ = now + sweep_period;
+void DataPlane::sweep() {
     context_.pool.sweep();
     context_.cold.sweep(steady_now());
 }
@@ -183,7 +183,7 @@
     auto result = distribution::apply(snapshot, active_state());
     if (!result) return log_unreadable_configuration(result.error());
     if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
-        put_in_force(std::move(*update), false);
+        activate(std::move(*update), false);
 }
 
 void DataPlane::on(const messages::StateDelta& delta) {
@@ -192,10 +192,10 @@
     if (!result || std::holds_alternative<distribution::MissingBase>(result.value()))
         return request_snapshot(&messages::ResyncRequest::state);
     if (auto* update = std::get_if<distribution::StateUpdate>(&result.value()))
-        put_in_force(std::move(*update), true);
+        activate(std::move(*update), true);
 }
 
-void DataPlane::put_in_force(distribution::StateUpdate update, bool is_delta) {
+void DataPlane::activate(distribution::StateUpdate update, bool is_delta) {
     if (context_.active_configuration)
         assume_cold(context_.active_configuration->evacuated, update.evacuated);
     context_.active_configuration = std::make_shared<const ActiveConfiguration>(
--- a/src/system/data/data_plane.h
+++ b/src/system/data/data_plane.h
@@ -15,6 +15,7 @@
 #include "system/messages/messages.h"
 #include "system/metrics/metrics_server.h"
 #include "system/settings/settings.h"
+#include "system/transport/tick_schedule.h"
 
 #include <memory>
 #include <optional>
@@ -43,7 +44,7 @@
 
     void tick();
     void start_serving();
-    void sweep(Clock::time_point now);
+    void sweep();
     bool may_end(Clock::duration leaving_for) const;
     void end();
 
@@ -57,7 +58,7 @@
     void on(const messages::ZoneListUpdate& update);
     std::optional<distribution::ActiveState> active_state() const;
     // `is_delta`: as the message came, for the log.
-    void put_in_force(distribution::StateUpdate update, bool is_delta);
+    void activate(distribution::StateUpdate update, bool is_delta);
     void on_members_changed();
     void request_snapshot(bool messages::ResyncRequest::*what);
     void assume_cold(const std::set<std::string>& before, const std::set<std::string>& after);
@@ -85,8 +86,8 @@
     metrics::MetricsServer metrics_server_;
     std::optional<ClientListener> client_listener_;
     SteadyTimer timer_;
+    transport::TickSchedule schedule_;
     Clock::time_point shutdown_began_;
-    Clock::time_point next_sweep_;
 };
 
 } // namespace willowrill::data
--- a/src/system/data/load_report_exchange.cpp
+++ b/src/system/data/load_report_exchange.cpp
@@ -19,8 +19,9 @@
 } // namespace
 
 LoadReportExchange::LoadReportExchange(Context& context, const std::string& host, std::uint16_t port)
-    : context_(context), timer_(context.loop), assignment_(context.selector.location()),
-      prober_(context, assignment_), publication_(context, assignment_, host, port) {
+    : context_(context), timer_(context.loop), schedule_(tick_period),
+      assignment_(context.selector.location()), prober_(context, assignment_),
+      publication_(context, assignment_, host, port) {
     tick();
 }
 
@@ -37,19 +38,17 @@
 }
 
 void LoadReportExchange::tick() {
-    ticked_time_ += tick_period;
+    schedule_.advance();
     if (context_.active_configuration) {
         const bool starting = !has_readings();
-        if (starting || due(arrangement_period)) arrange_subscriptions();
+        if (starting || schedule_.is_due(arrangement_period)) arrange_subscriptions();
         prober_.probe_due_workers();
-        if (due(zone_publication_period)) publication_.publish(ReportScope::all_zones);
-        if (due(region_publication_period)) publication_.publish(ReportScope::probed_here);
+        if (schedule_.is_due(zone_publication_period)) publication_.publish(ReportScope::all_zones);
+        if (schedule_.is_due(region_publication_period)) publication_.publish(ReportScope::probed_here);
     }
     schedule_tick();
 }
 
-bool LoadReportExchange::due(std::chrono::milliseconds period) const { return ticked_time_ % period == 0ms; }
-
 void LoadReportExchange::arrange_subscriptions() {
     for (const configuration::Service& service : context_.active_configuration->configuration.services)
         arrange_subscriptions(service.name, backoff_.backed_off(SchedulerBackoff::Clock::now()));
--- a/src/system/data/load_report_exchange.h
+++ b/src/system/data/load_report_exchange.h
@@ -10,6 +10,7 @@
 #include "system/data/probe_assignment.h"
 #include "system/data/scheduler_backoff.h"
 #include "system/data/subscription.h"
+#include "system/transport/tick_schedule.h"
 
 #include <chrono>
 #include <cstdint>
@@ -42,8 +43,6 @@
 
     void schedule_tick();
     void tick();
-    // Whether work of that period is due at this tick.
-    bool due(std::chrono::milliseconds period) const;
 
     // Finds out who is home to each service, and subscribes accordingly.
     void arrange_subscriptions();
@@ -55,7 +54,7 @@
 
     Context& context_;
     SteadyTimer timer_;
-    std::chrono::milliseconds ticked_time_{0}; // ticks so far, in time
+    transport::TickSchedule schedule_;
     ProbeAssignment assignment_;
     LoadProber prober_;
     LoadReportPublication publication_;
--- a/src/system/replication/election.h
+++ b/src/system/replication/election.h
@@ -46,8 +46,7 @@
     // who granted is sure to hold what was acknowledged.
     std::optional<Source> newest_state_among(const std::vector<MemberId>& in_sync) const;
 
-    // ---- Fetch, install and accept
-    // -------------------------------------------------------------------------
+    // ---- Fetch, install and accept -----------------------------------------------------------------------
 
     // `groups`: more than half of each must store the record.
     void plan(EpochRecord record, std::vector<std::vector<MemberId>> groups);
