--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -5,6 +5,7 @@
 #include "system/storage/record_ring.h"
 
 #include "support/expect.h"
+#include "support/scratch_folder.h"
 
 #include <criterion/criterion.h>
 
@@ -18,21 +19,6 @@
 
 namespace {
 
-class Folder {
-  public:
-    Folder() {
-        std::string name = (fs::temp_directory_path() / "willowrill-XXXXXX").string();
-        path_ = mkdtemp(name.data());
-    }
-    ~Folder() { fs::remove_all(path_); }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
-    const fs::path& path() const { return path_; }
-
-  private:
-    fs::path path_;
-};
-
 std::string read(const fs::path& path) {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
@@ -43,7 +29,7 @@
         .write(bytes.data(), static_cast<long>(bytes.size()));
 }
 
-RecordRing open(const Folder& folder) {
+RecordRing open(const ScratchFolder& folder) {
     auto ring = RecordRing::open(folder.path(), "r", 3, 4096);
     cr_assert(static_cast<bool>(ring));
     return std::move(ring.value());
@@ -52,7 +38,7 @@
 } // namespace
 
 Test(ring, a_new_one_is_empty) {
-    const Folder folder;
+    const ScratchFolder folder;
     const RecordRing ring = open(folder);
     cr_assert_not(ring.newest().has_value());
     for (const SlotContent content : ring.found())
@@ -60,7 +46,7 @@
 }
 
 Test(ring, the_newest_record_is_read_back_round_and_round) {
-    const Folder folder;
+    const ScratchFolder folder;
     for (int i = 0; i < 20; ++i) {
         RecordRing ring = open(folder);
         if (i > 0) expect_text(ring.newest()->c_str(), ("record " + std::to_string(i - 1)).c_str());
@@ -69,7 +55,7 @@
 }
 
 Test(ring, files_are_made_once_and_do_not_grow) {
-    const Folder folder;
+    const ScratchFolder folder;
     RecordRing ring = open(folder);
     const auto before = fs::file_size(folder.path() / "r-0.ring");
     for (int i = 0; i < 9; ++i)
@@ -93,7 +79,7 @@
 
 // The write of a record may stop at any byte: what was there before is read, or the whole new one.
 Test(ring, a_tear_at_any_byte_leaves_the_record_before) {
-    const Folder folder;
+    const ScratchFolder folder;
     {
         RecordRing ring = open(folder);
         ring.write("first");
@@ -103,7 +89,7 @@
     const std::string old = read(third), fresh = slot_bytes(3, "the third record");
     const std::size_t first_copy = encode_copy(3, "the third record").size();
     for (std::size_t cut = 0; cut <= fresh.size(); cut += cut < 2 * first_copy ? 1 : 7) {
-        const Folder copy;
+        const ScratchFolder copy;
         fs::copy(folder.path(), copy.path(), fs::copy_options::recursive);
         std::string torn = old;
         torn.replace(0, cut, fresh.substr(0, cut));
@@ -118,7 +104,7 @@
 
 // A bit that rots in the newest record must not make the one before it the newest.
 Test(ring, a_flipped_bit_in_the_newest_record_loses_nothing) {
-    const Folder folder;
+    const ScratchFolder folder;
     {
         RecordRing ring = open(folder);
         ring.write("first");
@@ -129,7 +115,7 @@
     const std::size_t length = encode_copy(2, "second").size();
     for (const std::size_t start : {std::size_t{0}, second_copy_offset(record_capacity)}) {
         for (std::size_t at = start; at < start + length; ++at) {
-            const Folder copy;
+            const ScratchFolder copy;
             fs::copy(folder.path(), copy.path(), fs::copy_options::recursive);
             std::string bad = good;
             bad[at] = static_cast<char>(bad[at] ^ 0x10);
@@ -151,7 +137,7 @@
 // What a killed process wrote may stand in the system's cache alone: a reader makes it durable before it
 // counts.
 Test(ring, what_is_read_is_written_anew) {
-    const Folder folder;
+    const ScratchFolder folder;
     {
         RecordRing ring = open(folder);
         ring.write("first");
@@ -172,7 +158,7 @@
 }
 
 Test(ring, a_record_longer_than_the_capacity_is_refused) {
-    const Folder folder;
+    const ScratchFolder folder;
     {
         RecordRing ring = open(folder);
         cr_assert(ring.write(std::string(record_capacity, 'x')));
@@ -190,7 +176,7 @@
 
 namespace {
 
-std::unique_ptr<willowrill::control::ReplicaStore> open_disk(const Folder& folder) {
+std::unique_ptr<willowrill::control::ReplicaStore> open_disk(const ScratchFolder& folder) {
     auto disk = willowrill::control::ReplicaStore::open(folder.path());
     cr_assert(static_cast<bool>(disk));
     return std::move(disk.value());
@@ -200,7 +186,7 @@
 
 Test(disk, register_and_state_come_back) {
     using namespace willowrill::replication;
-    const Folder folder;
+    const ScratchFolder folder;
     const EpochRecord record{4, "a:1", {"a:1", "b:1"}, {"a:1", "b:1", "c:1"}};
     const WitnessRegister stored{5, record, record, true};
     {
@@ -220,7 +206,7 @@
 // comes behind it, until the member starts to restore its records.
 Test(disk, after_a_refused_record_all_are_refused_until_it_restores) {
     using namespace willowrill::replication;
-    const Folder folder;
+    const ScratchFolder folder;
     const auto disk = open_disk(folder);
     // Random bytes, which no packing makes shorter.
     const auto random_state = [](std::size_t bytes) {
@@ -242,7 +228,7 @@
 
 Test(disk, a_long_state_is_packed_and_a_damaged_one_is_not_taken_for_another) {
     using namespace willowrill::replication;
-    const Folder folder;
+    const ScratchFolder folder;
     const auto content = std::make_shared<const std::string>(willowrill::configuration::max_state_bytes, 'x');
     cr_assert(open_disk(folder)->save({1, ReplicatedState{{4, 1}, content}}));
     cr_assert(*open_disk(folder)->load().state->content == *content);
