--- a/src/system/data/client_session.cpp
+++ b/src/system/data/client_session.cpp
@@ -154,7 +154,8 @@
     response.keep_alive(keep_alive);
     response.prepare_payload();
     const bool written = co_await write_rejection(response);
-    co_return written&& keep_alive;
+    const bool reusable = written && keep_alive;
+    co_return reusable;
 }
 
 asio::awaitable<bool> ClientSession::write_rejection(const http::response<http::string_body>& response) {
