--- a/tests/ci/check_names_test.py
+++ b/tests/ci/check_names_test.py
@@ -36,6 +36,11 @@
         self.assertEqual(self.problems(check_names.withdrawn_words),
                          ["src/system/a/b.cpp:2: take_whole is withdrawn: apply_snapshot"])
 
+    def test_a_withdrawn_namespace_is_found_where_it_qualifies_a_name(self):
+        self.write("src/scheduler/a.cpp", "inventory::List list;\nint upgrade = 0;\n")
+        self.assertEqual(self.problems(check_names.withdrawn_words),
+                         ["src/scheduler/a.cpp:1: inventory is withdrawn: the namespace of the folder"])
+
     def test_comments_and_texts_may_use_the_word(self):
         self.write("src/system/a/b.cpp", 'auto x = "take_whole"; // take_whole\nauto y = R"({"lacks_base":1})";\n')
         self.assertEqual(self.problems(check_names.withdrawn_words), [])
