--- a/tests/ci/check_names_test.py
+++ b/tests/ci/check_names_test.py
@@ -66,6 +66,17 @@
         self.assertEqual(self.problems(check_names.tests_not_built),
                          ["tests/system/a/c_test.cpp: no CMakeLists.txt builds it"])
 
+    def test_a_listed_outer_name_that_a_text_spells_passes(self):
+        self.write(".ci/outer-names", "# keys\nhold_ms\n/-/report\nmesh.listen\nbytes_per_second\n")
+        self.write("src/a.cpp", 'auto x = "&hold_ms=";\nauto y = R"({"a": "/-/report"})" "mesh.listen";\nauto z = "bytes_per_"\n  "second";\n')
+        self.assertEqual(self.problems(check_names.outer_names_lost), [])
+
+    def test_a_listed_outer_name_that_no_text_spells_is_found(self):
+        self.write(".ci/outer-names", "hold\nlease\n")
+        self.write("src/a.cpp", 'int hold = 0; // "hold"\nauto x = "hold_ms lease";\n')
+        self.assertEqual(self.problems(check_names.outer_names_lost),
+                         [".ci/outer-names:1: hold: no text of the code has that name"])
+
 
 if __name__ == "__main__":
     unittest.main()
