--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::http::write_answer;
+using net::http::write_response;
 
 constexpr auto patience = 10s;
 
@@ -42,7 +42,7 @@
         connection_.close();
         for (auto at = fleet_.jobs_.begin(); at != fleet_.jobs_.end(); ++at) {
             if (at->get() != this) continue;
-            fleet_.loop_.bury(std::move(*at));
+            fleet_.loop_.defer_destruction(std::move(*at));
             fleet_.jobs_.erase(at);
             return;
         }
@@ -51,29 +51,29 @@
     LiveFleet& fleet_;
     std::string tenant_;
     net::Connection connection_;
-    net::http::Parser parser_{net::http::Parser::Kind::answer};
+    net::http::Parser parser_{net::http::Parser::Kind::response};
 };
 
 LiveFleet::LiveFleet(net::Loop& loop, Options options)
     : loop_(loop), options_(std::move(options)), proxy_(loop, options_.seed),
       worker_(loop, {[this](Server::Call call, const net::http::Head& head, const std::string&) {
                   const std::string* id = head.find("x-request-id");
-                  worker_.answer(call, write_answer(200, {},
-                                                    "{\"id\":\"" + (id != nullptr ? *id : "") +
-                                                        "\",\"state\":\"done\",\"result\":\"r\"}\n"));
+                  worker_.answer(call, write_response(200, {},
+                                                      "{\"id\":\"" + (id != nullptr ? *id : "") +
+                                                          "\",\"state\":\"done\",\"result\":\"r\"}\n"));
               }}),
-      discovery_(
-          loop, {[this](Server::Call call, const net::http::Head& head, const std::string&) {
-              // A watch that asks from the version it has is answered at once, with nothing new, and slowly
-              // enough.
-              const bool watch = head.target.find("from=") != std::string::npos;
-              if (watch) return discovery_.answer(call, write_answer(503, {}, ""));
-              discovery_.answer(
-                  call, write_answer(200, {},
-                                     R"({"version":1,"full":true,"servers":[{"id":"w1","addr":")" +
-                                         worker_.address().text() +
-                                         R"(","zone":"here","kind":"small","state":"up","started_ms":0}]})"));
-          }}) {
+      discovery_(loop, {[this](Server::Call call, const net::http::Head& head, const std::string&) {
+                     // A watch that asks from the version it has is answered at once, with nothing new, and
+                     // slowly enough.
+                     const bool watch = head.target.find("from=") != std::string::npos;
+                     if (watch) return discovery_.answer(call, write_response(503, {}, ""));
+                     discovery_.answer(
+                         call, write_response(
+                                   200, {},
+                                   R"({"version":1,"full":true,"servers":[{"id":"w1","addr":")" +
+                                       worker_.address().text() +
+                                       R"(","zone":"here","kind":"small","state":"up","started_ms":0}]})"));
+                 }}) {
     write("1.key", std::string(64, '1'));
     write("2.key", std::string(64, '2'));
 }
@@ -163,7 +163,7 @@
             : connection(loop, *this, net::connect_to(to), net::Connection::State::opening, 1U << 16U) {}
         void on_input() override { connection.consume(parser.feed(connection.input())); }
         void on_closed() override { closed = true; }
-        net::http::Parser parser{net::http::Parser::Kind::answer};
+        net::http::Parser parser{net::http::Parser::Kind::response};
         bool closed = false;
         net::Connection connection;
     };
@@ -174,7 +174,7 @@
         loop_.run_once(1ms);
     call->connection.close();
     std::string body = call->parser.done() ? call->parser.body() : "";
-    loop_.bury(call);
+    loop_.defer_destruction(call);
     return body;
 }
 
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -50,13 +50,13 @@
 }
 
 Process::~Process() {
-    loop_.forget(read_.get());
+    loop_.unwatch(read_.get());
     if (ended()) return;
     signal(SIGKILL);
     ::waitpid(pid_, nullptr, 0);
 }
 
-void Process::read_log(bool on) { on ? loop_.watch(read_.get(), POLLIN, *this) : loop_.forget(read_.get()); }
+void Process::read_log(bool on) { on ? loop_.watch(read_.get(), POLLIN, *this) : loop_.unwatch(read_.get()); }
 
 void Process::signal(int signal) {
     if (!ended_) ::kill(pid_, signal);
@@ -74,7 +74,7 @@
     for (;;) {
         const auto got = ::read(read_.get(), buffer.data(), buffer.size());
         if (got < 0) return;
-        if (got == 0) return loop_.forget(read_.get());
+        if (got == 0) return loop_.unwatch(read_.get());
         log_.append(buffer.data(), static_cast<std::size_t>(got));
     }
 }
--- a/src/lab/proxy.cpp
+++ b/src/lab/proxy.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 std::size_t Proxy::add() {
-    net::Fd fd = net::datagrams_at(*net::Endpoint::parse("127.0.0.1:0"));
+    net::Fd fd = net::bind_udp_socket(*net::Endpoint::parse("127.0.0.1:0"));
     if (!fd.valid()) throw std::system_error(errno, std::generic_category(), "cannot have a socket");
     doors_.push_back(std::make_unique<Door>(*this, std::move(fd)));
     loop_.watch(doors_.back()->socket.get(), POLLIN, *doors_.back());
@@ -55,7 +55,7 @@
         ++lost_;
         return;
     }
-    held_.push_back(std::make_unique<Held>(loop_.wheel(), send));
+    held_.push_back(std::make_unique<Held>(loop_.timer_wheel(), send));
     const double share = static_cast<double>(random_()) / 4294967296.0;
     held_.back()->timer.arm(loop_.now() + net::Duration(static_cast<std::int64_t>(
                                               static_cast<double>(delay_most.count()) * share)));
--- a/src/lab/proxy.h
+++ b/src/lab/proxy.h
@@ -42,7 +42,7 @@
         bool cut = false;
     };
     struct Held { // a datagram on its way
-        Held(net::Wheel& wheel, std::function<void()> action) : timer(wheel, std::move(action)) {}
+        Held(net::TimerWheel& wheel, std::function<void()> action) : timer(wheel, std::move(action)) {}
         net::Timer timer;
     };
 
--- a/src/lab/server.cpp
+++ b/src/lab/server.cpp
@@ -8,7 +8,7 @@
   public:
     Caller(Server& server, net::Fd fd)
         : server_(server), connection_(server.loop_, *this, std::move(fd), net::Connection::State::open,
-                                       net::http::read_ahead) {}
+                                       net::http::input_buffer_bytes) {}
     void answer(std::string bytes) {
         call_ = 0;
         connection_.write(std::move(bytes));
@@ -39,7 +39,7 @@
         connection_.close();
         for (auto at = server_.callers_.begin(); at != server_.callers_.end(); ++at) {
             if (at->get() != this) continue;
-            server_.loop_.bury(std::move(*at));
+            server_.loop_.defer_destruction(std::move(*at));
             server_.callers_.erase(at);
             break;
         }
@@ -62,7 +62,7 @@
     loop_.watch(listener_.get(), POLLIN, *this);
 }
 
-Server::~Server() { loop_.forget(listener_.get()); }
+Server::~Server() { loop_.unwatch(listener_.get()); }
 
 void Server::answer(Call call, std::string bytes) {
     const auto found = waiting_.find(call);
--- a/src/lab/spread/live.cpp
+++ b/src/lab/spread/live.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::http::write_answer;
+using net::http::write_response;
 
 constexpr Time patience = 60s;
 
@@ -70,14 +70,14 @@
         auto& lines = world_.schedulers_[scheduler_].lines;
         const auto self = std::ranges::find_if(lines, [&](const auto& one) { return one.get() == this; });
         if (self == lines.end()) return;
-        world_.loop_.bury(std::move(*self));
+        world_.loop_.defer_destruction(std::move(*self));
         lines.erase(self);
     }
 
     LiveWorld& world_;
     std::size_t scheduler_;
     net::Connection connection_;
-    net::http::Parser parser_{net::http::Parser::Kind::answer};
+    net::http::Parser parser_{net::http::Parser::Kind::response};
     std::shared_ptr<Ask> ask_;
     bool used_ = false; // an answer has come on it
 };
@@ -164,20 +164,21 @@
 void LiveWorld::arrive(std::size_t at, Server::Call call, const net::http::Head& head) {
     Worker& worker = *workers_[at];
     const std::string* id = head.find("x-request-id");
-    if (head.method == "GET") return worker.server.answer(call, write_answer(200, {}, report(at))); // a probe
-    if (id == nullptr || id->empty()) return worker.server.answer(call, write_answer(400, {}, ""));
+    if (head.method == "GET")
+        return worker.server.answer(call, write_response(200, {}, report(at))); // a probe
+    if (id == nullptr || id->empty()) return worker.server.answer(call, write_response(400, {}, ""));
     const Number job = std::stoull(id->substr(1));
     const auto ask = by_id_.find(*id);
     const std::size_t scheduler = ask == by_id_.end() ? 0 : ask->second->scheduler;
     if (ask != by_id_.end() && faults_.is_cut(scheduler, at)) return; // it never came
     truth_.reached(job, at, at % experiment_.zones, scheduler, jobs_.work_s(job), worker.post.can_do(),
                    now());
-    if (worker.post.failing) return worker.server.answer(call, write_answer(500, load_header(at), ""));
+    if (worker.post.failing) return worker.server.answer(call, write_response(500, load_header(at), ""));
     if (worker.post.crew.take(call, jobs_.work_s(job), now()) == Crew::Taken::full) {
         truth_.turned_away(job);
         auto fields = load_header(at);
         fields.emplace_back("X-Not-Processed", "1");
-        return worker.server.answer(call, write_answer(503, fields, ""));
+        return worker.server.answer(call, write_response(503, fields, ""));
     }
     worker.held[call] = {job, scheduler, *id};
     if (ask != by_id_.end() && ask->second->at_workers++ == 0) ++at_workers_;
@@ -208,9 +209,9 @@
         if (!held || faults_.is_cut(held->scheduler, id)) continue; // the answer is lost
         const std::string load = experiment_.reports == Reports::answers ? ",\"load\":" + report(id) : "";
         worker.server.answer(call,
-                             write_answer(200, {},
-                                          "{\"id\":\"" + held->id + "\",\"from\":\"w" + std::to_string(id) +
-                                              "\",\"state\":\"done\",\"result\":\"r\"" + load + "}\n"));
+                             write_response(200, {},
+                                            "{\"id\":\"" + held->id + "\",\"from\":\"w" + std::to_string(id) +
+                                                "\",\"state\":\"done\",\"result\":\"r\"" + load + "}\n"));
     }
     const auto next = worker.post.to_wait_for(now());
     if (!next) return;
--- a/src/lab/spread/live_schedulers.cpp
+++ b/src/lab/spread/live_schedulers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::http::write_answer;
+using net::http::write_response;
 
 constexpr Time counts_as_told = 6s; // after a watch fell silent: STANDING.md
 constexpr Time longest_hold = 5s;   // less than a call may ask for: whoever asks again at once is told all
@@ -103,7 +103,7 @@
                "\",\"kind\":\"small\",\"cell\":0,\"state\":\"up\",\"weight\":1.0,\"started_ms\":" +
                std::to_string(workers_[id]->started_ms) + "}";
     }
-    return write_answer(200, {}, out + "]}");
+    return write_response(200, {}, out + "]}");
 }
 
 void LiveWorld::on_discovery(std::size_t at, Server::Call call, const net::http::Head& head) {
@@ -118,9 +118,9 @@
     this->at(now() + std::min(asked, longest_hold), [this, at, call] {
         Scheduler& late = schedulers_[at];
         if (std::erase(late.watches, call) > 0)
-            late.discovery->answer(call, write_answer(200, {},
-                                                      "{\"version\":" + std::to_string(late.version) +
-                                                          ",\"full\":false,\"servers\":[]}"));
+            late.discovery->answer(call, write_response(200, {},
+                                                        "{\"version\":" + std::to_string(late.version) +
+                                                            ",\"full\":false,\"servers\":[]}"));
     });
 }
 
--- a/src/lab/spread/live_world.h
+++ b/src/lab/spread/live_world.h
@@ -21,7 +21,7 @@
   public:
     LiveWorld(const Experiment& experiment, const LiveOptions& options)
         : experiment_(experiment), options_(options), chance_(experiment.seed), truth_(experiment_),
-          jobs_(experiment_, truth_), faults_(experiment_), timer_(loop_.wheel(), [this] { due(); }) {}
+          jobs_(experiment_, truth_), faults_(experiment_), timer_(loop_.timer_wheel(), [this] { due(); }) {}
 
     Measures run(const std::function<void(const std::string&)>& progress);
 
--- a/src/lab/spread/world.cpp
+++ b/src/lab/spread/world.cpp
@@ -196,7 +196,7 @@
                 if (to.listed.size() <= entry.worker) to.listed.resize(entry.worker + 1);
                 to.listed[entry.worker] = entry.condition == Condition::ready;
             }
-            if (to.host) to.host->list_news({EndpointListUpdate::Kind::changes, entries});
+            if (to.host) to.host->handle_worker_list({EndpointListUpdate::Kind::changes, entries});
             pump(i);
         });
     }
@@ -221,7 +221,7 @@
         one.listed.push_back(!worker.post.gone);
     if (way_ != Way::module) return;
     one.host = std::make_unique<core::Host>(settings_of(at), most_open, max_bytes, one, one);
-    one.host->list_news(whole_list());
+    one.host->handle_worker_list(whole_list());
     pump(at);
 }
 
@@ -268,12 +268,12 @@
                           .is_retry = tries > 1,
                           .repeatable = jobs_.effect(job) == Effect::repeatable,
                           .deadline = limit};
-    if (!to.host->take_in(std::move(message), one, one.id)) return answered(one, Ending::refused, 1s, false);
+    if (!to.host->admit(std::move(message), one, one.id)) return answered(one, Ending::refused, 1s, false);
     at(limit + 1ms, [this, number] {
         Ask& late = asks_[number];
         Scheduler& has = *schedulers_[late.scheduler];
         const bool runs = has.host && has.life == late.life && now_ >= has.stopped_until;
-        if (late.open && runs) has.host->overdue(late.id);
+        if (late.open && runs) has.host->fail_overdue(late.id);
     });
     pump(scheduler);
 }
@@ -296,7 +296,7 @@
 void SpreadWorld::pump(std::size_t scheduler) {
     Scheduler& one = *schedulers_[scheduler];
     if (!one.host) return;
-    const auto next = one.host->next_batch();
+    const auto next = one.host->next_batch_time();
     if (!next) return;
     const Time when = std::max({*next, now_, one.stopped_until});
     if (one.due >= now_ && one.due <= when) return;
@@ -305,7 +305,7 @@
         Scheduler& due = *schedulers_[scheduler];
         if (due.life != life || !due.host || due.due != when) return;
         due.due = Time(-1);
-        if (now_ >= due.stopped_until) due.host->batch(now_);
+        if (now_ >= due.stopped_until) due.host->run_batch(now_);
         pump(scheduler);
     });
 }
--- a/src/lab/spread/world.h
+++ b/src/lab/spread/world.h
@@ -110,7 +110,7 @@
     std::vector<std::size_t> attempts{};
 };
 
-struct SpreadWorld::Scheduler final : core::Upstream, core::Inventory {
+struct SpreadWorld::Scheduler final : core::Upstream, core::WorkerListSource {
     Scheduler(SpreadWorld& in, std::size_t at) : world(in), self(at) {}
     void start(core::JobId job, Index attempt, WorkerId worker, Time give_up, Time,
                const core::Message& message) override {
@@ -120,7 +120,7 @@
         const std::size_t found = sent.at({job, attempt});
         if (!world.attempts_[found].over) world.call_off(found);
     }
-    void withdraw_unsent(core::JobId, core::Index) override {} // here a request goes out at once
+    void cancel_if_unsent(core::JobId, core::Index) override {} // here a request goes out at once
     void probe(WorkerId worker) override { world.probe(self, worker); }
     void watch(bool) override {}
 
--- a/src/scheduler/admin/server.cpp
+++ b/src/scheduler/admin/server.cpp
@@ -26,8 +26,8 @@
   public:
     Call(Server& server, net::Fd fd)
         : server_(server), connection_(server.loop_, *this, std::move(fd), net::Connection::State::open,
-                                       net::http::read_ahead),
-          timer_(server.loop_.wheel(), [this] { on_timer(); }) {
+                                       net::http::input_buffer_bytes),
+          timer_(server.loop_.timer_wheel(), [this] { on_timer(); }) {
         timer_.arm(server.loop_.now() + call_time);
     }
 
@@ -83,7 +83,7 @@
         answered_ = true;
         if (status >= 400 && status != 503) ++server_.counters_.bad;
         fields.emplace_back("Connection", "close");
-        connection_.write(net::http::write_answer(status, fields, body));
+        connection_.write(net::http::write_response(status, fields, body));
         timer_.arm(server_.loop_.now() + linger_time);
         connection_.close_when_sent();
     }
@@ -100,7 +100,7 @@
     loop_.watch(listener_.get(), POLLIN, *this);
 }
 
-Server::~Server() { loop_.forget(listener_.get()); }
+Server::~Server() { loop_.unwatch(listener_.get()); }
 
 // Callers that say nothing must not keep the others out: the oldest gives way to a new one, those that have
 // their answer first.
@@ -122,7 +122,7 @@
     const auto found = std::ranges::find(calls_, &call, &std::shared_ptr<Call>::get);
     if (found == calls_.end()) return;
     call.close();
-    loop_.bury(std::move(*found));
+    loop_.defer_destruction(std::move(*found));
     calls_.erase(found);
 }
 
--- a/src/scheduler/config/settings.cpp
+++ b/src/scheduler/config/settings.cpp
@@ -342,7 +342,7 @@
     read_decisions(section(json, "settings"), out);
     out.file_settings = simdjson::minify(section(json, "settings"));
     const std::string seed = text(json, "seed", "0");
-    const auto seed_value = net::http::to_number(seed, 16);
+    const auto seed_value = net::http::parse_unsigned(seed, 16);
     if (!seed_value) bad("seed", "a hexadecimal number of 64 bits at most");
     out.decisions.seed = *seed_value;
     out.report_fields = read_report_fields(section(section(json, "settings"), "reporting"));
@@ -356,7 +356,7 @@
 std::size_t connections_per_side(const Settings& settings, std::size_t descriptors) {
     // What a connection of either side holds when it has read a body that is not yet whole. Three fifths of
     // the memory are for these, a quarter for messages that are open, and the rest for all else.
-    constexpr std::size_t both = 2 * (net::http::most_body + net::http::read_ahead);
+    constexpr std::size_t both = 2 * (net::http::max_body_bytes + net::http::input_buffer_bytes);
     const std::size_t sockets = std::max(std::min(settings.sockets, descriptors), 2 * spare_descriptors);
     const std::size_t fitting = settings.memory_mb * (1U << 20U) / 5 * 3 / both;
     return std::clamp<std::size_t>((sockets - spare_descriptors) / 2, 1, std::max<std::size_t>(1, fitting));
--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -29,7 +29,7 @@
 } // namespace
 
 Host::Host(const willowrill::Settings& settings, std::size_t max_open, std::size_t max_bytes,
-           Upstream& upstream, Inventory& inventory)
+           Upstream& upstream, WorkerListSource& inventory)
     : dispatcher_(settings), tick_(settings.tick),
       stay_away_(settings.takes_advice ? settings.max_stay_away : Duration(0)), max_open_(max_open),
       max_bytes_(max_bytes), upstream_(upstream), inventory_(inventory) {
@@ -38,7 +38,7 @@
     tallies_.resize(settings.classes.size());
 }
 
-bool Host::take_in(Message message, Client& client, JobId& job) {
+bool Host::admit(Message message, Client& client, JobId& job) {
     const std::size_t bytes = small_parts + copies * message.body.size();
     if (open_ >= max_open_ || bytes_ + bytes > max_bytes_ || holds(message.id) ||
         !ids_.insert(message.id).second) {
@@ -46,7 +46,7 @@
         turn_away(message.job_class, message.tenant);
         return false;
     }
-    if (neighbour_ != nullptr) neighbour_->opened(message.id);
+    if (neighbour_ != nullptr) neighbour_->on_message_opened(message.id);
     if (free_.empty()) {
         job = static_cast<JobId>(entries_.size());
         entries_.emplace_back();
@@ -66,7 +66,7 @@
     entries_[job] = {.message = std::move(message), .client = &client, .used = true, .bytes = bytes};
     ++open_;
     bytes_ += bytes;
-    ++counters_.taken_in;
+    ++counters_.admitted;
     if (log::wanted(spdlog::level::debug)) {
         const Message& taken = entries_[job].message;
         log::event(spdlog::level::debug, "message.taken_in",
@@ -89,7 +89,8 @@
 
 void Host::turn_away(Index job_class, Index tenant) {
     ++tallies_[job_class].refused;
-    if (ledger_ != nullptr) ledger_->ended(job_class, tenant, Ledger::Ending::refused);
+    if (ledger_ != nullptr)
+        ledger_->on_message_ended(job_class, tenant, MessageObserver::FinalStatus::refused);
 }
 
 // Exactly one final answer: whoever ends a message gets its client from here, and only the first one does.
@@ -97,11 +98,11 @@
     Entry& entry = entries_[job];
     if (!entry.used || entry.answered) return nullptr;
     entry.answered = true;
-    Tally& tally = tallies_[entry.message.job_class];
+    ClassTotals& tally = tallies_[entry.message.job_class];
     if (end == End::served) ++tally.served;
     if (end == End::refused) ++tally.refused;
     if (end == End::failed) ++tally.failed;
-    if (ledger_ != nullptr) ledger_->ended(entry.message.job_class, entry.message.tenant, end);
+    if (ledger_ != nullptr) ledger_->on_message_ended(entry.message.job_class, entry.message.tenant, end);
     if (log::wanted(spdlog::level::debug)) {
         log::event(spdlog::level::debug, "message.over",
                    {{"message", entry.message.id},
@@ -113,26 +114,26 @@
     --open_;
     touched_.push_back(job);
     Client* client = std::exchange(entry.client, nullptr);
-    withdraw_unsent(job);
+    cancel_if_unsent(job);
     return client;
 }
 
 // What has not gone out by the end of its message would begin work for nobody, perhaps long after its client
 // has left: its connection may still be coming up.
-void Host::withdraw_unsent(JobId job) {
+void Host::cancel_if_unsent(JobId job) {
     const std::vector<Attempt>& attempts = entries_[job].attempts;
     for (Index i = 0; i < attempts.size(); ++i) {
-        if (attempts[i].out) upstream_.withdraw_unsent(job, i);
+        if (attempts[i].out) upstream_.cancel_if_unsent(job, i);
     }
 }
 
 void Host::client_left(JobId job) {
-    if (close(job, End::left) == nullptr) return;
-    ++counters_.left;
+    if (close(job, End::client_left) == nullptr) return;
+    ++counters_.clients_left;
     tell(job, willowrill::JobLeft{job});
 }
 
-void Host::overdue(JobId job) {
+void Host::fail_overdue(JobId job) {
     Client* client = close(job, End::failed);
     if (client == nullptr) return;
     ++counters_.overdue;
@@ -140,13 +141,13 @@
     client->on_failed();
 }
 
-void Host::cut_short(JobId job) {
+void Host::abort_for_shutdown(JobId job) {
     // Where a second run is harmless, its client may go elsewhere, whatever has run.
     const bool fails = !entries_[job].message.repeatable &&
                        std::ranges::count(entries_[job].attempts, true, &Attempt::may_have_run) > 0;
     Client* client = close(job, fails ? End::failed : End::refused);
     if (client == nullptr) return;
-    ++counters_.cut_short;
+    ++counters_.aborted_by_shutdown;
     tell(job, willowrill::JobLeft{job});
     fails ? client->on_failed() : client->on_refused(go_elsewhere());
 }
@@ -205,8 +206,9 @@
     }
 }
 
-void Host::list_news(willowrill::EndpointListUpdate news) {
-    ++(news.kind == willowrill::EndpointListUpdate::Kind::broken ? counters_.lists_broken : counters_.lists);
+void Host::handle_worker_list(willowrill::EndpointListUpdate news) {
+    ++(news.kind == willowrill::EndpointListUpdate::Kind::broken ? counters_.failed_list_updates
+                                                                 : counters_.list_updates);
     events_.emplace_back(std::move(news));
 }
 
@@ -215,13 +217,13 @@
     events_.emplace_back(willowrill::Probed{worker, outcome, latency, report});
 }
 
-std::optional<Time> Host::next_batch() const {
+std::optional<Time> Host::next_batch_time() const {
     const Time tick = last_batch_ + tick_;
     if (!events_.empty()) return tick;
     return wake_ ? std::optional(std::max(*wake_, tick)) : std::nullopt;
 }
 
-void Host::batch(Time now) {
+void Host::run_batch(Time now) {
     ++counters_.batches;
     last_batch_ = now;
     if (wake_ && *wake_ <= now) {
@@ -255,7 +257,7 @@
     Entry& entry = entries_[job];
     if (!entry.used || !entry.answered || entry.holds > 0) return;
     ids_.erase(entry.message.id);
-    if (neighbour_ != nullptr) neighbour_->closed(entry.message.id);
+    if (neighbour_ != nullptr) neighbour_->on_message_closed(entry.message.id);
     bytes_ -= entry.bytes;
     entry = {};
     free_.push_back(job);
--- a/src/scheduler/core/host.h
+++ b/src/scheduler/core/host.h
@@ -55,45 +55,46 @@
     virtual void cancel(JobId job, Index attempt) = 0;
     // Nobody waits for the message any more: an attempt whose request has not gone out to its last byte ends
     // here, whether or not workers heed a cancellation. Any other is left alone.
-    virtual void withdraw_unsent(JobId job, Index attempt) = 0;
+    virtual void cancel_if_unsent(JobId job, Index attempt) = 0;
     virtual void probe(WorkerId worker) = 0; // followed by one `Host::probed`, in or after the call
 };
 
-class Inventory {
+class WorkerListSource {
   public:
-    virtual ~Inventory() = default;
+    virtual ~WorkerListSource() = default;
     virtual void watch(bool active) = 0; // asked anew while a watch is on, it changes nothing
 };
 
 // Another run of this scheduler, at an upgrade: a message open in one is not taken by the other.
-class Neighbour {
+class PeerProcess {
   public:
-    virtual ~Neighbour() = default;
-    virtual void opened(const std::string& id) = 0;
-    virtual void closed(const std::string& id) = 0;
+    virtual ~PeerProcess() = default;
+    virtual void on_message_opened(const std::string& id) = 0;
+    virtual void on_message_closed(const std::string& id) = 0;
     virtual bool holds(const std::string& id) const = 0;
 };
 
 // Keeps account of how messages ended, as their clients saw it: one call for each, from the one place where
 // that is known. It must not throw, and be quick.
-class Ledger {
+class MessageObserver {
   public:
-    enum class Ending { served, refused, failed, left };
-    virtual ~Ledger() = default;
-    virtual void ended(Index job_class, Index tenant, Ending ending) = 0; // tenant: `none` where unknown
+    enum class FinalStatus { served, refused, failed, client_left };
+    virtual ~MessageObserver() = default;
+    virtual void on_message_ended(Index job_class, Index tenant,
+                                  FinalStatus ending) = 0; // tenant: `none` where unknown
 };
 
 struct Counters {
-    std::uint64_t taken_in = 0, turned_away = 0, left = 0;          // messages
+    std::uint64_t admitted = 0, turned_away = 0, clients_left = 0;  // messages
     std::uint64_t served = 0, refused = 0, failed = 0, overdue = 0; // final answers; overdue ones by the host
     std::uint64_t sent = 0, cancelled = 0;                          // attempts
-    std::uint64_t cut_short = 0;             // messages that the end of the program did not wait for
+    std::uint64_t aborted_by_shutdown = 0;   // messages that the end of the program did not wait for
     std::array<std::uint64_t, 8> outcomes{}; // by willowrill::Outcome
-    std::uint64_t batches = 0, lists = 0, lists_broken = 0;
+    std::uint64_t batches = 0, list_updates = 0, failed_list_updates = 0;
 };
 
 // Jobs by the answer that their clients were given. What a client left counts nowhere.
-struct Tally {
+struct ClassTotals {
     std::uint64_t served = 0, refused = 0, failed = 0;
 };
 
@@ -101,18 +102,18 @@
   public:
     // `max_bytes` is for the messages held, with their copies on the way to a worker and back.
     Host(const willowrill::Settings& settings, std::size_t max_open, std::size_t max_bytes,
-         Upstream& upstream, Inventory& inventory);
+         Upstream& upstream, WorkerListSource& inventory);
 
     // False: the id is in use, or no message more can be held. The client must outlive the message or call
     // `client_left`.
-    bool take_in(Message message, Client& client, JobId& job);
+    bool admit(Message message, Client& client, JobId& job);
     bool holds(const std::string& id) const {
         return ids_.contains(id) || (neighbour_ != nullptr && neighbour_->holds(id));
     }
     const std::unordered_set<std::string>& ids() const { return ids_; } // not free yet
-    void set_neighbour(Neighbour& neighbour) { neighbour_ = &neighbour; }
-    void set_ledger(Ledger& ledger) { ledger_ = &ledger; }
-    void limit(std::size_t max_bytes) { max_bytes_ = max_bytes; }
+    void set_peer_process(PeerProcess& neighbour) { neighbour_ = &neighbour; }
+    void set_message_observer(MessageObserver& ledger) { ledger_ = &ledger; }
+    void set_max_bytes(std::size_t max_bytes) { max_bytes_ = max_bytes; }
     // A message that was never taken in is answered with a refusal.
     void turn_away(Index job_class, Index tenant);
     // What such a refusal tells its client, as the module's do: when to come back, if clients are told at
@@ -120,9 +121,9 @@
     Duration stay_away() const { return stay_away_; }
     Duration go_elsewhere() const { return std::min(stay_away_, moment); }
     void client_left(JobId job);
-    void overdue(JobId job); // the deadline passes and the module has not answered: fails it
+    void fail_overdue(JobId job); // the deadline passes and the module has not answered: fails it
     // The program ends before the message can: refused if no attempt of it may have run, else failed.
-    void cut_short(JobId job);
+    void abort_for_shutdown(JobId job);
     // How long an attempt of the class takes at a worker as a rule; the class's aim until one was served.
     Duration usual_time(Index job_class) const { return usual_[job_class]; }
 
@@ -132,16 +133,16 @@
                        const std::optional<willowrill::Report>& report = {}, std::string_view result = {});
     void probed(WorkerId worker, willowrill::Outcome outcome, Duration latency,
                 const std::optional<willowrill::Report>& report);
-    void list_news(willowrill::EndpointListUpdate news);
+    void handle_worker_list(willowrill::EndpointListUpdate news);
 
     // When `batch` is due: at the next tick if there is news, else when the module wants to wake.
-    std::optional<Time> next_batch() const;
-    void batch(Time now);
+    std::optional<Time> next_batch_time() const;
+    void run_batch(Time now);
 
-    std::size_t open() const { return open_; } // messages without a final answer
-    std::size_t attempts_out() const { return out_; }
+    std::size_t open_messages() const { return open_; } // messages without a final answer
+    std::size_t attempts_in_flight() const { return out_; }
     const Counters& counters() const { return counters_; }
-    const std::vector<Tally>& tallies() const { return tallies_; } // by class
+    const std::vector<ClassTotals>& class_totals() const { return tallies_; } // by class
     std::size_t workers_excluded(Time now) const { return dispatcher_.excluded(now); }
 
   private:
@@ -161,9 +162,9 @@
         std::size_t holds = 0; // attempts out, and events that the module has not seen
     };
 
-    using End = Ledger::Ending;
+    using End = MessageObserver::FinalStatus;
     Client* close(JobId job, End end); // the one place where a message ends
-    void withdraw_unsent(JobId job);
+    void cancel_if_unsent(JobId job);
     void tell(JobId job, willowrill::Event event);
     void release(JobId job);
     static constexpr Duration moment = std::chrono::milliseconds(250); // in which the front has noticed
@@ -174,9 +175,9 @@
     std::vector<Duration> usual_; // by class
     std::size_t max_open_, max_bytes_, bytes_ = 0;
     Upstream& upstream_;
-    Inventory& inventory_;
-    Neighbour* neighbour_ = nullptr;
-    Ledger* ledger_ = nullptr;
+    WorkerListSource& inventory_;
+    PeerProcess* neighbour_ = nullptr;
+    MessageObserver* ledger_ = nullptr;
     std::deque<Entry> entries_; // a deque, as references must outlive the arrival of others
     std::vector<JobId> free_, touched_;
     std::unordered_set<std::string> ids_;
@@ -186,7 +187,7 @@
     Time last_batch_{0};
     std::size_t open_ = 0, out_ = 0;
     Counters counters_;
-    std::vector<Tally> tallies_; // by class
+    std::vector<ClassTotals> tallies_; // by class
 };
 
 } // namespace willowrill::core
--- a/src/scheduler/ctl/call.cpp
+++ b/src/scheduler/ctl/call.cpp
@@ -42,7 +42,7 @@
     if (::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) !=
         static_cast<ssize_t>(request.size()))
         return failed(std::strerror(errno));
-    net::http::Parser parser(net::http::Parser::Kind::answer);
+    net::http::Parser parser(net::http::Parser::Kind::response);
     Answer out;
     while (!parser.done()) {
         std::array<char, 65536> buffer{};
--- a/src/scheduler/discovery_client/watch.cpp
+++ b/src/scheduler/discovery_client/watch.cpp
@@ -16,11 +16,12 @@
   public:
     explicit Call(Watch& watch)
         : watch_(watch),
-          overdue_(watch.loop_.wheel(), [this] { watch_.failed(*this, "no answer in time"); }) {
+          overdue_(watch.loop_.timer_wheel(), [this] { watch_.failed(*this, "no answer in time"); }) {
         net::Fd fd = net::connect_to(watch.discovery_);
         if (!fd.valid()) return; // told like any other failure, but not within the call
-        connection_ = std::make_shared<net::Connection>(
-            watch.loop_, *this, std::move(fd), net::Connection::State::opening, net::http::read_ahead);
+        connection_ =
+            std::make_shared<net::Connection>(watch.loop_, *this, std::move(fd),
+                                              net::Connection::State::opening, net::http::input_buffer_bytes);
     }
 
     void ask(const std::string& target, net::Duration hold) {
@@ -41,7 +42,7 @@
         waits_ = false;
         if (!connection_) return;
         connection_->close();
-        watch_.loop_.bury(std::move(connection_));
+        watch_.loop_.defer_destruction(std::move(connection_));
     }
 
   private:
@@ -66,7 +67,7 @@
 
     Watch& watch_;
     std::shared_ptr<net::Connection> connection_;
-    net::http::Parser parser_{net::http::Parser::Kind::answer};
+    net::http::Parser parser_{net::http::Parser::Kind::response};
     net::Timer overdue_;
     net::Time answer_by_{0};
     bool waits_ = false;
@@ -75,7 +76,7 @@
 Watch::Watch(net::Loop& loop, net::Endpoint discovery, WatchTimes times, std::uint64_t seed, List& list,
              News news)
     : loop_(loop), discovery_(discovery), times_(times), random_(seed), list_(list), news_(std::move(news)),
-      silence_(loop.wheel(), [this] { silent(); }) {}
+      silence_(loop.timer_wheel(), [this] { silent(); }) {}
 
 Watch::~Watch() { hang_up(); }
 
@@ -133,7 +134,7 @@
 void Watch::drop(Call& call) {
     call.close();
     const auto at = std::ranges::find(calls_, &call, &std::shared_ptr<Call>::get);
-    loop_.bury(std::move(*at));
+    loop_.defer_destruction(std::move(*at));
     calls_.erase(at);
 }
 
--- a/src/scheduler/discovery_client/watch.h
+++ b/src/scheduler/discovery_client/watch.h
@@ -16,7 +16,7 @@
 
 namespace willowrill::discovery_client {
 
-class Watch final : public core::Inventory {
+class Watch final : public core::WorkerListSource {
   public:
     using News = std::function<void(willowrill::EndpointListUpdate)>;
 
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -53,7 +53,7 @@
       mesh_(loop, site, site.instance.empty() ? settings.name : site.instance, wait),
       series_(names_.classes.size() * (names_.tenants.size() + 1), unknown) {}
 
-void Fleet::ended(Index job_class, Index tenant, Ending ending) {
+void Fleet::on_message_ended(Index job_class, Index tenant, FinalStatus ending) {
     if (!counts_) return;
     const std::size_t tenants = names_.tenants.size();
     const std::size_t column = tenant < tenants ? tenant : tenants;
--- a/src/scheduler/fleet/fleet.h
+++ b/src/scheduler/fleet/fleet.h
@@ -1,5 +1,5 @@
 // This scheduler as one of a fleet: its messages' ends go into the shared counts, and operators are told of
-// the fleet. Knows the host by `core::Ledger`, and nothing of clients or workers.
+// the fleet. Knows the host by `core::MessageObserver`, and nothing of clients or workers.
 #pragma once
 
 #include "scheduler/config/settings.h"
@@ -16,12 +16,12 @@
 // Jobs whose client names no known tenant.
 inline constexpr std::string_view no_tenant = "(none)";
 
-class Fleet final : public core::Ledger {
+class Fleet final : public core::MessageObserver {
   public:
     // `site.mesh` is set. `wait`: see `gossip::Mesh`. Throws std::system_error.
     Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings, bool wait);
 
-    void ended(Index job_class, Index tenant, Ending ending) override;
+    void on_message_ended(Index job_class, Index tenant, FinalStatus ending) override;
 
     std::string counts_json() const; // empty: counts are off
     std::string members_json() const;
--- a/src/scheduler/frontend/arrival_times.h
+++ b/src/scheduler/frontend/arrival_times.h
@@ -15,7 +15,7 @@
     // So many bytes wait by now. `full`: the buffer takes no more, so that the next ones may be here already.
     // Those, and bytes beyond `most_marks` times, count as come with the last ones that are known: a client
     // may seem to have asked earlier than it did, never later.
-    void waiting(std::size_t bytes, net::Time now, bool full) {
+    void record_unread(std::size_t bytes, net::Time now, bool full) {
         const std::size_t end = taken_ + bytes;
         if (was_full_) now = full_at_;
         was_full_ = full;
@@ -27,7 +27,7 @@
             marks_[(first_ + count_++) % most_marks] = {end, now};
         }
     }
-    void taken(std::size_t bytes) {
+    void record_consumed(std::size_t bytes) {
         taken_ += bytes;
         while (count_ > 0 && marks_[first_].end <= taken_) {
             first_ = (first_ + 1) % most_marks;
@@ -35,7 +35,7 @@
         }
     }
     // Of the first byte that waits; `now` where none was noted.
-    net::Time first(net::Time now) const { return count_ > 0 ? marks_[first_].at : now; }
+    net::Time first_unread(net::Time now) const { return count_ > 0 ? marks_[first_].at : now; }
 
   private:
     static constexpr std::size_t most_marks = 8;
--- a/src/scheduler/frontend/front.cpp
+++ b/src/scheduler/frontend/frontend.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/frontend/front.h"
+#include "scheduler/frontend/frontend.h"
 
 #include "scheduler/frontend/arrival_times.h"
 #include "scheduler/frontend/request.h"
@@ -15,7 +15,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using net::http::write_answer;
+using net::http::write_response;
 
 // A request must be whole so long after its first byte, and the first on a connection so long after it was
 // accepted, whatever trickles in: half a request or silence would hold a descriptor for nothing.
@@ -40,14 +40,14 @@
 } // namespace
 
 // A client's connection. It carries one message at a time; what the client sends meanwhile waits unread.
-class Front::ClientConnection final : public net::Connection::Owner,
-                                      public core::Client,
-                                      public std::enable_shared_from_this<ClientConnection> {
+class Frontend::ClientConnection final : public net::Connection::Owner,
+                                         public core::Client,
+                                         public std::enable_shared_from_this<ClientConnection> {
   public:
-    ClientConnection(Front& front, net::Fd fd)
-        : front_(front),
-          connection_(front.loop_, *this, std::move(fd), net::Connection::State::open, net::http::read_ahead),
-          timer_(front.loop_.wheel(), [this] { on_timer(); }) {
+    ClientConnection(Frontend& front, net::Fd fd)
+        : front_(front), connection_(front.loop_, *this, std::move(fd), net::Connection::State::open,
+                                     net::http::input_buffer_bytes),
+          timer_(front.loop_.timer_wheel(), [this] { on_timer(); }) {
         idle_since_ = front_.loop_.now();
         timer_.arm(first_by_ = idle_since_ + read_time);
     }
@@ -74,7 +74,7 @@
         send_elsewhere(Then::close);
     }
     void cut_short() {
-        if (state_ == State::waiting && arrived_ > front_.left_at_) front_.host_.cut_short(job_);
+        if (state_ == State::waiting && arrived_ > front_.left_at_) front_.host_.abort_for_shutdown(job_);
     }
 
   private:
@@ -85,7 +85,7 @@
 
     void on_input() override {
         const std::size_t unread = connection_.input().size();
-        arrivals_.waiting(unread, front_.loop_.now(), unread >= net::http::read_ahead);
+        arrivals_.record_unread(unread, front_.loop_.now(), unread >= net::http::input_buffer_bytes);
         if (state_ == State::reading) read();
     }
 
@@ -104,12 +104,12 @@
     void on_timer() {
         switch (state_) {
         case State::waiting: // a guard: the module ends every message before its time is up
-            return front_.host_.overdue(job_);
+            return front_.host_.fail_overdue(job_);
         case State::reading:
             if (!parser_.begun() && !connection_.input().empty()) return read();
             // What has just come is read in the next round.
             if (rests() && connection_.has_hung_up()) return timer_.arm(front_.loop_.now());
-            ++front_.counters_.stalled;
+            ++front_.counters_.timed_out;
             if (parser_.begun() && connection_.all_sent()) return reject({408, "the request took too long"});
             [[fallthrough]];
         case State::leaving:
@@ -121,19 +121,19 @@
         while (state_ == State::reading && !connection_.input().empty()) {
             if (!parser_.begun()) {
                 const net::Time now = front_.loop_.now();
-                arrived_ = arrivals_.first(now); // the client's time has begun to run
+                arrived_ = arrivals_.first_unread(now); // the client's time has begun to run
                 timer_.arm(new_ ? first_by_ : now + read_time);
             }
             const bool had_head = parser_.head_done();
             const std::size_t used = parser_.feed(connection_.input());
-            arrivals_.taken(used);
+            arrivals_.record_consumed(used);
             connection_.consume(used);
             if (parser_.bad()) return reject({parser_.error(), "not a request that can be read"});
             if (parser_.done()) {
                 on_request();
             } else if (parser_.head_done() && !had_head &&
                        parser_.head().has_token("expect", "100-continue")) {
-                connection_.write(write_answer(100, {}, ""));
+                connection_.write(write_response(100, {}, ""));
             }
         }
         if (front_.finishing_ && !new_ && idle()) front_.drop(*this); // it was no request
@@ -171,8 +171,8 @@
         }
         if (front_.host_.holds(message.id)) return reject({409, "the X-Request-ID is in use"});
         state_ = State::waiting;
-        if (!front_.host_.take_in(std::move(message), *this, job_)) {
-            ++front_.counters_.full;
+        if (!front_.host_.admit(std::move(message), *this, job_)) {
+            ++front_.counters_.not_admitted;
             return on_refused(front_.host_.stay_away());
         }
         timer_.arm(deadline);
@@ -199,7 +199,7 @@
     // What could not be read leaves it open where the next request begins.
     void reject(const Rejection& rejection) {
         ++front_.counters_.rejected;
-        answer(rejection.status, {}, rejection.why + "\n", Then::close);
+        answer(rejection.status, {}, rejection.reason + "\n", Then::close);
     }
 
     void answer(int status, net::http::Fields fields, std::string_view body, Then then = Then::go_on) {
@@ -210,7 +210,7 @@
         if (last) fields.emplace_back("Connection", "close");
         if (!last && parser_.head().minor == 0) fields.emplace_back("Connection", "keep-alive");
         state_ = last ? State::leaving : State::reading;
-        connection_.write(write_answer(status, fields, body));
+        connection_.write(write_response(status, fields, body));
         if (last) {
             timer_.arm(front_.loop_.now() + (connection_.all_sent() ? linger_time : write_time));
             return connection_.close_when_sent();
@@ -232,7 +232,7 @@
         timer_.arm(idle_since_ + (connection_.all_sent() ? idle_time : write_time));
     }
 
-    Front& front_;
+    Frontend& front_;
     net::Connection connection_;
     net::http::Parser parser_{net::http::Parser::Kind::request};
     net::Timer timer_;
@@ -243,23 +243,24 @@
     bool new_ = true; // no whole request has come yet
 };
 
-Front::Front(net::Loop& loop, const config::Settings& settings, core::Host& host,
-             std::size_t most_connections, std::function<bool()> ready, net::Fd listener)
+Frontend::Frontend(net::Loop& loop, const config::Settings& settings, core::Host& host,
+                   std::size_t most_connections, std::function<bool()> ready, net::Fd listener)
     : loop_(loop), settings_(settings), host_(host), most_connections_(most_connections),
       ready_(std::move(ready)),
       listener_(listener.valid() ? std::move(listener) : net::listen_on(settings.listen, true)),
-      pause_(loop.wheel(), [this] { listen(true); }), send_away_(loop.wheel(), [this] { send_away(); }) {}
+      pause_(loop.timer_wheel(), [this] { listen(true); }),
+      send_away_(loop.timer_wheel(), [this] { send_away(); }) {}
 
-Front::~Front() { listen(false); }
+Frontend::~Frontend() { listen(false); }
 
-void Front::listen(bool on) {
+void Frontend::listen(bool on) {
     if (!listener_.valid()) return;
-    on&& accepting_ ? loop_.watch(listener_.get(), POLLIN, *this) : loop_.forget(listener_.get());
+    on&& accepting_ ? loop_.watch(listener_.get(), POLLIN, *this) : loop_.unwatch(listener_.get());
 }
 
 // Out of descriptors, a connection that waits at the listener would wake poll for ever: look away for a
 // while, and let go of a client that wants nothing now.
-void Front::on_ready(short) {
+void Frontend::on_ready(short) {
     for (int accepted = 0; accepted < accepts_a_round;) {
         // Room is made for a connection that is there: one too many, and no idle one is given up for nothing.
         if (clients_.size() > most_connections_ && !close_one_idle()) return look_away();
@@ -280,12 +281,12 @@
     }
 }
 
-void Front::look_away() {
+void Frontend::look_away() {
     listen(false);
     pause_.arm(loop_.now() + accept_pause);
 }
 
-bool Front::close_one_idle() {
+bool Frontend::close_one_idle() {
     std::vector<ClientConnection*> resting;
     for (const auto& [client, owner] : clients_) {
         if (client->rests()) resting.push_back(client);
@@ -298,31 +299,33 @@
     return true;
 }
 
-void Front::drop(ClientConnection& client) {
+void Frontend::drop(ClientConnection& client) {
     const auto found = clients_.find(&client);
     if (found == clients_.end()) return;
     client.close();
-    loop_.bury(std::move(found->second));
+    loop_.defer_destruction(std::move(found->second));
     clients_.erase(found);
 }
 
-void Front::accept(bool on) {
+void Frontend::set_accepting(bool on) {
     accepting_ = on;
     listen(on);
 }
 
-void Front::drain() { draining_ = true; }
+void Frontend::drain() { draining_ = true; }
 
-void Front::lame_duck(bool on) {
+void Frontend::set_lame_duck(bool on) {
     if (on == lame_since_.has_value()) return;
     spdlog::info("north: {} connections {}", clients_.size(), on ? "are sent away" : "may stay");
     lame_since_ = on ? std::optional(loop_.now()) : std::nullopt;
     on ? send_away_.arm(loop_.now() + lame_idle) : send_away_.disarm();
 }
 
-net::Duration Front::lame_for() const { return lame_since_ ? loop_.now() - *lame_since_ : net::Duration(-1); }
+net::Duration Frontend::lame_for() const {
+    return lame_since_ ? loop_.now() - *lame_since_ : net::Duration(-1);
+}
 
-void Front::send_away() {
+void Frontend::send_away() {
     each_client([this](ClientConnection& client) {
         if (client.idle()) return drop(client);
         if (lame_for() > lame_jobs) client.cut_off();
@@ -331,7 +334,7 @@
 }
 
 // The action may drop it.
-template <class Action> void Front::each_client(Action action) {
+template <class Action> void Frontend::each_client(Action action) {
     std::vector<ClientConnection*> clients;
     clients.reserve(clients_.size());
     for (const auto& [client, owner] : clients_)
@@ -340,7 +343,7 @@
         action(*client);
 }
 
-void Front::leave(net::Time end) {
+void Frontend::begin_shutdown(net::Time end) {
     draining_ = true;
     // What waits there has been accepted by this machine.
     for (auto before = counters_.accepted; listener_.valid() && accepting_; before = counters_.accepted) {
@@ -350,7 +353,7 @@
     stop_accepting(end);
 }
 
-void Front::stop_accepting(net::Time end) {
+void Frontend::stop_accepting(net::Time end) {
     leaving_ = true;
     left_at_ = loop_.now();
     end_ = end;
@@ -360,7 +363,7 @@
 }
 
 // A connection that is new stays for its first request, which may be on its way.
-void Front::hand_on(net::Time end) {
+void Frontend::hand_over(net::Time end) {
     draining_ = finishing_ = true;
     stop_accepting(end);
     each_client([this](ClientConnection& client) {
@@ -368,7 +371,7 @@
     });
 }
 
-void Front::finish() {
+void Frontend::finish_shutdown() {
     finishing_ = true;
     each_client([this](ClientConnection& client) { client.idle() ? drop(client) : client.cut_short(); });
 }
--- a/src/scheduler/frontend/front.h
+++ b/src/scheduler/frontend/frontend.h
@@ -14,38 +14,38 @@
 
 namespace willowrill::frontend {
 
-struct FrontCounters {
-    std::uint64_t accepted = 0, requests = 0, ready_checks = 0, rejected = 0, stalled = 0, full = 0,
+struct FrontendCounters {
+    std::uint64_t accepted = 0, requests = 0, ready_checks = 0, rejected = 0, timed_out = 0, not_admitted = 0,
                   evicted = 0;
 };
 
-class Front final : private net::Pollable {
+class Frontend final : private net::Pollable {
   public:
     // `ready` says whether there are workers to serve with. Nothing is accepted from a listener that another
     // run has handed over until `accept`.
-    Front(net::Loop& loop, const config::Settings& settings, core::Host& host, std::size_t most_connections,
-          std::function<bool()> ready, net::Fd listener = {});
-    ~Front() override;
+    Frontend(net::Loop& loop, const config::Settings& settings, core::Host& host,
+             std::size_t most_connections, std::function<bool()> ready, net::Fd listener = {});
+    ~Frontend() override;
 
     void drain(); // not ready any more, but takes in what comes
     // Sends the clients away, for as long as it is on. It goes together with `drain` and `leave`, in any
     // order.
-    void lame_duck(bool on);
-    void limit(std::size_t connections) { most_connections_ = connections; }
-    void accept(bool on);
+    void set_lame_duck(bool on);
+    void set_max_connections(std::size_t connections) { most_connections_ = connections; }
+    void set_accepting(bool on);
     const net::Fd& listener() const { return listener_; }
     // Accepts no more connections. Clients go on using those they have: what can end before `end` is still
     // taken in on them.
-    void leave(net::Time end);
+    void begin_shutdown(net::Time end);
     // Another run has the listener now: closes what is idle, and the rest after its answer.
-    void hand_on(net::Time end);
+    void hand_over(net::Time end);
     // Closes what is idle and the rest after its answer; what came after `leave` does not wait for its own.
-    void finish();
+    void finish_shutdown();
     net::Endpoint address() const { return net::local_address(listener_); }
     bool empty() const { return clients_.empty(); }
     std::size_t size() const { return clients_.size(); }
-    std::size_t most() const { return most_connections_; }
-    const FrontCounters& counters() const { return counters_; }
+    std::size_t max_connections() const { return most_connections_; }
+    const FrontendCounters& counters() const { return counters_; }
 
   private:
     class ClientConnection;
@@ -72,7 +72,7 @@
     net::Time left_at_{0}, end_{0};
     std::optional<net::Time> lame_since_;
     net::Timer send_away_;
-    FrontCounters counters_;
+    FrontendCounters counters_;
 };
 
 } // namespace willowrill::frontend
--- a/src/scheduler/frontend/request.cpp
+++ b/src/scheduler/frontend/request.cpp
@@ -87,7 +87,7 @@
     message.repeatable = job_class.effect == willowrill::Effect::repeatable;
     core::Duration wait = job_class.give_up;
     if (const std::string* given = head.find("x-timeout-ms")) {
-        const auto value = net::http::to_number(*given);
+        const auto value = net::http::parse_unsigned(*given);
         if (!value || *value > longest_wait_ms) return reject("X-Timeout-Ms is not a number of milliseconds");
         wait = std::chrono::milliseconds(*value);
     }
@@ -95,7 +95,7 @@
     message.tenant = config::Names::find(settings.names.tenants, text("x-tenant-id"));
     message.is_retry = text("x-retried") == "1";
     each_pair(text("cookie"), ';', [&](std::string_view name, std::string_view value) {
-        if (name == "obj") message.key = net::http::to_number(value, 16);
+        if (name == "obj") message.key = net::http::parse_unsigned(value, 16);
     });
     if (!read_attributes(text("x-attrs"), message)) return reject("X-Attrs holds a figure that is none");
     // An estimate that cannot be is none: the job is served without it.
--- a/src/scheduler/frontend/request.h
+++ b/src/scheduler/frontend/request.h
@@ -12,7 +12,7 @@
 
 struct Rejection {
     int status = 400;
-    std::string why;
+    std::string reason;
 };
 
 // False, with the rejection, where the request cannot be a message.
--- a/src/scheduler/gossip/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -79,12 +79,12 @@
 Mesh::Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait)
     : loop_(loop), settings_(*site.mesh),
       snapshot_every_(site.counts ? site.counts->snapshot_every : Time(0)), sealer_(keys_of(settings_)),
-      replay_(4 * settings_.max_members), timer_(loop.wheel(), [this] { on_timer(); }),
-      save_timer_(loop.wheel(), [this] { save(); }), gone_timer_(loop.wheel(),
-                                                                 [this] {
-                                                                     if (gone_) gone_();
-                                                                 }),
-      open_timer_(loop.wheel(), [this] { open(true, true); }) {
+      replay_(4 * settings_.max_members), timer_(loop.timer_wheel(), [this] { on_timer(); }),
+      save_timer_(loop.timer_wheel(), [this] { save(); }), gone_timer_(loop.timer_wheel(),
+                                                                       [this] {
+                                                                           if (gone_) gone_();
+                                                                       }),
+      open_timer_(loop.timer_wheel(), [this] { open(true, true); }) {
     if (site.counts && !site.state_dir.empty()) snapshots_.emplace(site.state_dir, instance);
     const auto former = load();
     const std::uint64_t last = former && former->instance == instance ? former->number : 0;
@@ -114,7 +114,7 @@
 }
 
 void Mesh::open(bool wait, bool waited) {
-    socket_ = net::datagrams_at(settings_.listen);
+    socket_ = net::bind_udp_socket(settings_.listen);
     const net::Time now = loop_.now();
     if (!socket_.valid()) {
         if (!wait || errno != EADDRINUSE)
@@ -137,7 +137,7 @@
 }
 
 Mesh::~Mesh() {
-    if (socket_.valid()) loop_.forget(socket_.get());
+    if (socket_.valid()) loop_.unwatch(socket_.get());
 }
 
 void Mesh::set(const operator_config::Site& site) {
--- a/src/scheduler/hot_restart/succession.cpp
+++ b/src/scheduler/hot_restart/succession.cpp
@@ -133,7 +133,7 @@
 
 Succession::Succession(net::Loop& loop, std::optional<std::string> path,
                        std::optional<InheritedListener> inheritance, Run& run)
-    : loop_(loop), path_(std::move(path)), run_(run), tell_(loop.wheel(), [this] { tell_held(); }) {
+    : loop_(loop), path_(std::move(path)), run_(run), tell_(loop.timer_wheel(), [this] { tell_held(); }) {
     door_.action = [this] { on_knock(); };
     before_.action = [this] { on_news_from_predecessor(); };
     after_.action = [this] { on_news_from_successor(); };
@@ -155,7 +155,7 @@
 
 void Succession::close(End& end) {
     if (!end.fd.valid()) return;
-    loop_.forget(end.fd.get());
+    loop_.unwatch(end.fd.get());
     end.fd.reset();
     end.ids.clear();
     end.late.clear();
--- a/src/scheduler/hot_restart/succession.h
+++ b/src/scheduler/hot_restart/succession.h
@@ -29,7 +29,7 @@
 std::optional<InheritedListener> inherit(const std::string& path, const net::Endpoint& listen,
                                          net::Duration at_most);
 
-class Succession final : public core::Neighbour {
+class Succession final : public core::PeerProcess {
   public:
     // The run that this is part of.
     class Run {
@@ -51,8 +51,8 @@
     bool succeeded() const { return after_serves_; }
     std::size_t neighbour_holds() const { return neighbour_holds_; } // that of a predecessor
 
-    void opened(const std::string& id) override { tell(id, true); }
-    void closed(const std::string& id) override { tell(id, false); }
+    void on_message_opened(const std::string& id) override { tell(id, true); }
+    void on_message_closed(const std::string& id) override { tell(id, false); }
     bool holds(const std::string& id) const override;
 
   private:
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -5,7 +5,7 @@
 #include "scheduler/discovery_client/list.h"
 #include "scheduler/discovery_client/watch.h"
 #include "scheduler/fleet/fleet.h"
-#include "scheduler/frontend/front.h"
+#include "scheduler/frontend/frontend.h"
 #include "scheduler/hot_restart/succession.h"
 #include "scheduler/log/log.h"
 #include "scheduler/net/loop.h"
@@ -65,17 +65,18 @@
           front_(
               loop_, settings_, host_, per_side(settings_), [this] { return knows_workers(); },
               inheritance ? std::move(inheritance->listener) : net::Fd()),
-          next_batch_(loop_.wheel(), [] {}), watch_again_(loop_.wheel(), [this] { watch_.watch(true); }),
-          leave_(loop_.wheel(), [this] { front_.leave(end_); }),
-          finish_(loop_.wheel(), [this] { front_.finish(); }), fresh_(loop_.wheel(), [] {}),
-          confirm_(loop_.wheel(), [this] { use_remembered(); }),
+          next_batch_(loop_.timer_wheel(), [] {}),
+          watch_again_(loop_.timer_wheel(), [this] { watch_.watch(true); }),
+          leave_(loop_.timer_wheel(), [this] { front_.begin_shutdown(end_); }),
+          finish_(loop_.timer_wheel(), [this] { front_.finish_shutdown(); }),
+          fresh_(loop_.timer_wheel(), [] {}), confirm_(loop_.timer_wheel(), [this] { use_remembered(); }),
           signals_(loop_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}, [this](int signal) { on_signal(signal); }),
           succession_(loop_, std::move(door), std::move(inheritance), *this) {
         pool_.set_host(host_);
-        host_.set_neighbour(succession_);
+        host_.set_peer_process(succession_);
         // A former run at an upgrade still has the address among the instances.
         if (site_.mesh) fleet_.emplace(loop_, site_, settings_, succession_.shared());
-        if (fleet_) host_.set_ledger(*fleet_);
+        if (fleet_) host_.set_message_observer(*fleet_);
         if (settings_.mgmt) admin_.emplace(loop_, *settings_.mgmt, static_cast<admin::Service&>(*this));
         if (!settings_.known.empty()) {
             if (auto news = list_.read(settings_.known)) {
@@ -90,7 +91,7 @@
     }
 
     void run() {
-        loop_.at_round_end([this] { on_round_end(); });
+        loop_.set_iteration_end_hook([this] { on_round_end(); });
         if (admin_) {
             log::event(spdlog::level::info, "mgmt.open", {{"address", admin_->address().text()}},
                        "operators' calls at " + admin_->address().text());
@@ -106,7 +107,7 @@
             serve();
         }
         if (remembered_) confirm_.arm(loop_.now() + confirm_time);
-        host_.batch(loop_.now()); // the module asks for the list
+        host_.run_batch(loop_.now()); // the module asks for the list
         loop_.run();
         print_counters();
     }
@@ -120,7 +121,7 @@
 
     void serve() {
         serving_ = true;
-        front_.accept(true);
+        front_.set_accepting(true);
         succession_.serve();
     }
 
@@ -136,29 +137,29 @@
         const std::size_t most = per_side(share);
         // With a successor that accepts, no more attempts are needed than there are clients, and a few that
         // outlive theirs.
-        pool_.limit(succession_.succeeded() ? std::min(most, front_.size() + few) : most);
-        front_.limit(most);
-        host_.limit(config::message_memory(share));
+        pool_.set_max_connections(succession_.succeeded() ? std::min(most, front_.size() + few) : most);
+        front_.set_max_connections(most);
+        host_.set_max_bytes(config::message_memory(share));
     }
 
     const std::unordered_set<std::string>& ids() const override { return host_.ids(); }
     const net::Fd& listener() const override { return front_.listener(); }
     std::size_t held() const override {
         const std::size_t clients =
-            succession_.succeeded() ? front_.size() : std::max(front_.size(), front_.most());
-        return config::spare_descriptors + clients + std::max(pool_.size(), pool_.most());
+            succession_.succeeded() ? front_.size() : std::max(front_.size(), front_.max_connections());
+        return config::spare_descriptors + clients + std::max(pool_.size(), pool_.max_connections());
     }
     void on_neighbour() override { share_limits(); }
     void on_successor(bool serves) override {
         share_limits();
-        if (serving_ && !stopping_) front_.accept(!serves);
+        if (serving_ && !stopping_) front_.set_accepting(!serves);
     }
 
     // What has changed since the former life counts as told from the first moment. So the module does not
     // hear of the remembered list, and jobs wait, until discovery has said what is newer, or cannot.
     void use_remembered() {
         confirm_.disarm();
-        if (remembered_) host_.list_news(*std::exchange(remembered_, std::nullopt));
+        if (remembered_) host_.handle_worker_list(*std::exchange(remembered_, std::nullopt));
     }
 
     void on_list(willowrill::EndpointListUpdate news) {
@@ -171,7 +172,7 @@
         if (!news.entries.empty())
             spdlog::info("inventory: version {} with {} entries", list_.version(), news.entries.size());
         log_entries(news);
-        host_.list_news(std::move(news));
+        host_.handle_worker_list(std::move(news));
         pool_.close_unlisted();
     }
 
@@ -195,14 +196,14 @@
     }
 
     void on_round_end() {
-        auto next = host_.next_batch();
+        auto next = host_.next_batch_time();
         if (next && *next <= loop_.now()) {
-            host_.batch(loop_.now());
-            next = host_.next_batch();
+            host_.run_batch(loop_.now());
+            next = host_.next_batch_time();
         }
         if (next) next_batch_.arm(*next);
         if (!serving_ && !stopping_ && !list_.empty() && !fresh_.armed()) serve();
-        if (stopping_ && !leave_.armed() && front_.empty() && host_.open() == 0) end();
+        if (stopping_ && !leave_.armed() && front_.empty() && host_.open_messages() == 0) end();
     }
 
     // All messages have ended, and are counted: the other instances hear the last of it.
@@ -226,7 +227,7 @@
             share_limits();
             if (now.file_discovery != before.file_discovery) watch_.move(now.file_discovery);
             spdlog::info("configuration read again: discovery at {}, {} connections a side",
-                         watch_.discovery().text(), front_.most());
+                         watch_.discovery().text(), front_.max_connections());
             if (now.file_settings != before.file_settings || now.file_listen != before.file_listen ||
                 now.file_name != before.file_name || now.file_mgmt != before.file_mgmt)
                 spdlog::warn(
@@ -259,14 +260,14 @@
         if (signal == SIGUSR1) return print_counters();
         if (signal == SIGHUP) return reload();
         if (std::exchange(stopping_, true)) return;
-        spdlog::info("stopping: {} messages open", host_.open());
+        spdlog::info("stopping: {} messages open", host_.open_messages());
         front_.drain();
         net::Duration longest = 0ns;
         for (const willowrill::JobClass& job_class : settings_.decisions.classes)
             longest = std::max(longest, std::min<net::Duration>(job_class.give_up, longest_counted));
         end_ = loop_.now() + longest + after_longest;
         if (succession_.succeeded()) {
-            front_.hand_on(end_);
+            front_.hand_over(end_);
         } else {
             leave_.arm(loop_.now() + accept_time);
         }
@@ -275,7 +276,7 @@
 
     bool knows_workers() const { return !list_.empty() && !remembered_; }
     bool can_serve() const override { return serving_ && knows_workers() && !stopping_; }
-    void lame_duck(bool on) override { front_.lame_duck(on); }
+    void lame_duck(bool on) override { front_.set_lame_duck(on); }
     std::optional<Report> report(std::string_view path) const override {
         if (path == "/_counts") return Report{"application/json", fleet_ ? fleet_->counts_json() : ""};
         if (path == "/_members") return Report{"application/json", fleet_ ? fleet_->members_json() : ""};
@@ -285,29 +286,29 @@
     admin::Figures figures() const override {
         admin::Figures out{.classes = {},
                            .attempts = pool_.counters().written,
-                           .in_flight = host_.open(),
+                           .in_flight = host_.open_messages(),
                            .workers_known = list_.listed(),
                            .workers_excluded = host_.workers_excluded(loop_.now())};
-        const std::vector<core::Tally>& tallies = host_.tallies();
-        for (std::size_t i = 0; i < tallies.size(); ++i) {
-            out.classes.push_back(
-                {settings_.names.classes[i], tallies[i].served, tallies[i].refused, tallies[i].failed});
+        const std::vector<core::ClassTotals>& class_totals = host_.class_totals();
+        for (std::size_t i = 0; i < class_totals.size(); ++i) {
+            out.classes.push_back({settings_.names.classes[i], class_totals[i].served,
+                                   class_totals[i].refused, class_totals[i].failed});
         }
         return out;
     }
 
     void print_counters() const {
         const core::Counters& host = host_.counters();
-        const frontend::FrontCounters& front = front_.counters();
+        const frontend::FrontendCounters& front = front_.counters();
         const upstream::PoolCounters& pool = pool_.counters();
         spdlog::info("north: accepted {} requests {} ready-checks {} rejected {} stalled {} turned-away {} "
                      "evicted {} open {}",
-                     front.accepted, front.requests, front.ready_checks, front.rejected, front.stalled,
-                     front.full, front.evicted, front_.size());
+                     front.accepted, front.requests, front.ready_checks, front.rejected, front.timed_out,
+                     front.not_admitted, front.evicted, front_.size());
         spdlog::info(
             "messages: taken-in {} served {} refused {} failed {} overdue {} cut-short {} left {} open {}",
-            host.taken_in, host.served, host.refused, host.failed, host.overdue, host.cut_short, host.left,
-            host_.open());
+            host.admitted, host.served, host.refused, host.failed, host.overdue, host.aborted_by_shutdown,
+            host.clients_left, host_.open_messages());
         const auto& outcomes = host.outcomes;
         spdlog::info(
             "relays: sent {} served {} error {} full {} timed-out {} connect-failed {} reset {} cancelled {} "
@@ -316,11 +317,11 @@
             outcomes[6], outcomes[7]);
         spdlog::info("connections: opened {} reused {} failed {} retired {} hung-up {} evicted {} "
                      "broke-at-reuse {} written {} open {}",
-                     pool.opened, pool.reused, pool.refused, pool.retired, pool.hung_up, pool.evicted,
-                     pool.reuse_failed, pool.written, pool_.size());
+                     pool.opened, pool.reused, pool.failed_unsent, pool.idle_timeouts, pool.closed_by_worker,
+                     pool.evicted, pool.reuse_failures, pool.written, pool_.size());
         spdlog::info("probes: sent {} told {} unwilling {} nonsense {} late {} lost {} crowded-out {}",
-                     pool.probes, pool.told, pool.unwilling, pool.nonsense, pool.late, pool.lost,
-                     pool.crowded_out);
+                     pool.probes, pool.probe_reports, pool.probe_error_statuses, pool.probe_malformed,
+                     pool.probe_timeouts, pool.probe_connections_lost, pool.probes_without_connection);
         if (const std::uint64_t dropped = log::dropped_lines(); dropped > 0)
             spdlog::info("log: dropped {}", dropped);
         if (admin_) {
@@ -329,8 +330,8 @@
                          admin.evicted);
         }
         spdlog::info("inventory: lists {} broken {} silences {} version {}; batches {}; reloads {}",
-                     host.lists, host.lists_broken, watch_.silences(), list_.version(), host.batches,
-                     reloads_);
+                     host.list_updates, host.failed_list_updates, watch_.silences(), list_.version(),
+                     host.batches, reloads_);
     }
 
     const config::Settings settings_;   // as at the start; the parts refer to them
@@ -342,11 +343,11 @@
     const discovery_client::WatchTimes watch_times_;
     discovery_client::Watch watch_;
     core::Host host_;
-    frontend::Front front_;
+    frontend::Frontend front_;
     net::Timer next_batch_, watch_again_, leave_, finish_, fresh_, confirm_;
     std::optional<willowrill::EndpointListUpdate> remembered_; // until discovery's first word
     net::Time end_{0};                                         // of what is taken in late
-    net::Signals signals_;
+    net::SignalHandler signals_;
     hot_restart::Succession succession_;
     std::optional<fleet::Fleet> fleet_;
     std::optional<admin::Server> admin_;
@@ -381,7 +382,7 @@
 
 int serve(const Options& options) {
     namespace operator_config = willowrill::operator_config;
-    std::optional<willowrill::net::HeldSignals> held(std::in_place, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
+    std::optional<willowrill::net::ScopedSignalBlock> held(std::in_place, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
     auto settings = willowrill::config::read([](const char* name) { return std::getenv(name); });
     operator_config::Site at_site =
         options.site_file.empty() ? operator_config::Site() : operator_config::read(options.site_file);
--- a/src/scheduler/net/connection.cpp
+++ b/src/scheduler/net/connection.cpp
@@ -39,7 +39,7 @@
 void Connection::close() {
     if (state_ == State::closed) return;
     state_ = State::closed;
-    loop_.forget(fd_.get());
+    loop_.unwatch(fd_.get());
     fd_.reset();
 }
 
--- a/src/scheduler/net/http.cpp
+++ b/src/scheduler/net/http.cpp
@@ -73,7 +73,7 @@
 
 } // namespace
 
-std::optional<std::uint64_t> to_number(std::string_view text, int base) {
+std::optional<std::uint64_t> parse_unsigned(std::string_view text, int base) {
     std::uint64_t value = 0;
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, value, base);
@@ -138,7 +138,7 @@
     const std::size_t end = bytes.find('\n');
     const std::size_t count = end == std::string_view::npos ? bytes.size() : end + 1;
     head_size_ += count;
-    if (head_size_ > most_head) {
+    if (head_size_ > max_head_bytes) {
         fail(431);
         return std::nullopt;
     }
@@ -187,7 +187,7 @@
         if (!is_token(head_.method) || !std::ranges::all_of(head_.target, is_visible)) return fail(400);
         if (!head_.target.starts_with('/')) return fail(400);
     } else {
-        const auto status = to_number(line.substr(first + 1, 3));
+        const auto status = parse_unsigned(line.substr(first + 1, 3));
         if (!status || *status < 100 || *status > 599) return fail(400);
         head_.status = static_cast<int>(*status);
     }
@@ -207,7 +207,7 @@
 
 // The length must be beyond doubt: two readings of it would let one message hide in another.
 void Parser::on_head_end() {
-    if (kind_ == Kind::answer && head_.status < 200) return restart(); // interim; the answer follows
+    if (kind_ == Kind::response && head_.status < 200) return restart(); // interim; the answer follows
     const auto count = [&](std::string_view name) {
         return std::ranges::count(head_.fields, name,
                                   [](const auto& field) { return std::string_view(field.first); });
@@ -221,9 +221,9 @@
         return;
     }
     if (length != nullptr) {
-        const auto size = to_number(*length);
+        const auto size = parse_unsigned(*length);
         if (!size || count("content-length") > 1) return fail(400);
-        if (*size > most_body) return fail(413);
+        if (*size > max_body_bytes) return fail(413);
         left_ = *size;
         state_ = left_ > 0 ? State::body : State::done;
         return;
@@ -233,9 +233,9 @@
 }
 
 void Parser::on_chunk_size(std::string_view line) {
-    const auto size = to_number(trim(line.substr(0, line.find(';'))), 16);
+    const auto size = parse_unsigned(trim(line.substr(0, line.find(';'))), 16);
     if (!size) return fail(400);
-    if (*size > most_body) return fail(413);
+    if (*size > max_body_bytes) return fail(413);
     left_ = *size;
     state_ = left_ > 0 ? State::chunk : State::trailers;
 }
@@ -243,7 +243,7 @@
 void Parser::add_body(std::string_view& bytes) {
     const std::size_t count =
         state_ == State::until_close ? bytes.size() : std::min<std::size_t>(left_, bytes.size());
-    if (body_.size() + count > most_body) return fail(413);
+    if (body_.size() + count > max_body_bytes) return fail(413);
     body_.append(bytes.substr(0, count));
     bytes.remove_prefix(count);
     if (state_ == State::until_close) return;
@@ -270,7 +270,7 @@
     return out;
 }
 
-std::string write_answer(int status, const Fields& fields, std::string_view body) {
+std::string write_response(int status, const Fields& fields, std::string_view body) {
     std::string out;
     out.reserve(256 + body.size());
     out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n");
--- a/src/scheduler/net/http.h
+++ b/src/scheduler/net/http.h
@@ -10,10 +10,10 @@
 
 namespace willowrill::net::http {
 
-inline constexpr std::size_t most_body = std::size_t{64} * 1024;
-inline constexpr std::size_t most_head = std::size_t{16} * 1024;
+inline constexpr std::size_t max_body_bytes = std::size_t{64} * 1024;
+inline constexpr std::size_t max_head_bytes = std::size_t{16} * 1024;
 // What a connection reads ahead of the parser, which takes all that is there.
-inline constexpr std::size_t read_ahead = std::size_t{16} * 1024;
+inline constexpr std::size_t input_buffer_bytes = std::size_t{16} * 1024;
 
 struct Head {
     std::string method, target;                              // of a request
@@ -29,7 +29,7 @@
 // Takes in one message piece by piece. After `done`, `restart` makes it ready for the next.
 class Parser {
   public:
-    enum class Kind { request, answer };
+    enum class Kind { request, response };
     enum class State { start, fields, body, until_close, chunk_size, chunk, chunk_end, trailers, done, bad };
 
     explicit Parser(Kind kind) : kind_(kind) {}
@@ -70,9 +70,9 @@
 using Fields = std::vector<std::pair<std::string_view, std::string>>;
 std::string write_request(std::string_view method, std::string_view target, const Fields& fields,
                           std::string_view body);
-std::string write_answer(int status, const Fields& fields, std::string_view body);
+std::string write_response(int status, const Fields& fields, std::string_view body);
 
 // Whole numbers without sign, blanks or other decoration.
-std::optional<std::uint64_t> to_number(std::string_view text, int base = 10);
+std::optional<std::uint64_t> parse_unsigned(std::string_view text, int base = 10);
 
 } // namespace willowrill::net::http
--- a/src/scheduler/net/loop.cpp
+++ b/src/scheduler/net/loop.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-void Loop::forget(int fd) {
+void Loop::unwatch(int fd) {
     const auto at = static_cast<std::size_t>(fd);
     if (at >= position_.size() || position_[at] == 0) return;
     const std::size_t position = std::exchange(position_[at], 0) - 1;
--- a/src/scheduler/net/loop.h
+++ b/src/scheduler/net/loop.h
@@ -5,7 +5,7 @@
 // goes off once and the loop waits again within a few rounds.
 #pragma once
 
-#include "scheduler/net/wheel.h"
+#include "scheduler/net/timer_wheel.h"
 
 #include <poll.h>
 
@@ -31,17 +31,17 @@
     void jump(Duration ahead) { clock_.jump(ahead); }
     // Rounds since poll(2) last waited to its end without any event: work that did not let go of the
     // processor.
-    std::uint64_t rounds_since_wait() const { return rounds_since_wait_; }
-    Wheel& wheel() { return wheel_; }
+    std::uint64_t iterations_since_idle() const { return rounds_since_wait_; }
+    TimerWheel& timer_wheel() { return wheel_; }
 
     void watch(int fd, short events, Pollable& pollable); // again: changes the events
-    void forget(int fd);
+    void unwatch(int fd);
 
     // Keeps an object that may be on the call stack alive to the end of the round.
-    void bury(std::shared_ptr<void> object) { buried_.push_back(std::move(object)); }
+    void defer_destruction(std::shared_ptr<void> object) { buried_.push_back(std::move(object)); }
 
     // Called at the end of each round, when all that came in has been read.
-    void at_round_end(std::function<void()> hook) { round_end_ = std::move(hook); }
+    void set_iteration_end_hook(std::function<void()> hook) { round_end_ = std::move(hook); }
 
     void run();
     void run_once(Duration at_most);
@@ -50,7 +50,7 @@
   private:
     Clock clock_;
     Time now_;
-    Wheel wheel_;
+    TimerWheel wheel_;
     std::vector<pollfd> polled_;
     std::vector<Pollable*> pollables_;  // beside `polled_`; null once forgotten
     std::vector<std::size_t> position_; // by descriptor: place in `polled_`, plus one
--- a/src/scheduler/net/signals.cpp
+++ b/src/scheduler/net/signals.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-HeldSignals::HeldSignals(std::initializer_list<int> signals) {
+ScopedSignalBlock::ScopedSignalBlock(std::initializer_list<int> signals) {
     sigset_t held{};
     ::sigemptyset(&held);
     for (const int signal : signals) {
@@ -35,9 +35,9 @@
     ::sigprocmask(SIG_BLOCK, &held, &before_);
 }
 
-HeldSignals::~HeldSignals() { ::sigprocmask(SIG_SETMASK, &before_, nullptr); }
+ScopedSignalBlock::~ScopedSignalBlock() { ::sigprocmask(SIG_SETMASK, &before_, nullptr); }
 
-Signals::Signals(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action)
+SignalHandler::SignalHandler(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action)
     : loop_(loop), action_(std::move(action)) {
     std::array<int, 2> ends{};
     if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0)
@@ -55,9 +55,9 @@
     loop_.watch(read_.get(), POLLIN, *this);
 }
 
-Signals::~Signals() { loop_.forget(read_.get()); }
+SignalHandler::~SignalHandler() { loop_.unwatch(read_.get()); }
 
-void Signals::on_ready(short) {
+void SignalHandler::on_ready(short) {
     std::array<char, 512> woken{};
     while (::read(read_.get(), woken.data(), woken.size()) > 0) {
     }
--- a/src/scheduler/net/signals.h
+++ b/src/scheduler/net/signals.h
@@ -12,22 +12,22 @@
 
 // While one stands, signals of these kinds wait until there is someone to tell: taken before, SIGHUP would
 // end the program.
-class HeldSignals {
+class ScopedSignalBlock {
   public:
-    HeldSignals(std::initializer_list<int> signals);
-    ~HeldSignals();
-    HeldSignals(const HeldSignals&) = delete;
-    HeldSignals& operator=(const HeldSignals&) = delete;
+    ScopedSignalBlock(std::initializer_list<int> signals);
+    ~ScopedSignalBlock();
+    ScopedSignalBlock(const ScopedSignalBlock&) = delete;
+    ScopedSignalBlock& operator=(const ScopedSignalBlock&) = delete;
 
   private:
     sigset_t before_{};
 };
 
 // One at a time in a process.
-class Signals final : private Pollable {
+class SignalHandler final : private Pollable {
   public:
-    Signals(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action);
-    ~Signals() override;
+    SignalHandler(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action);
+    ~SignalHandler() override;
 
   private:
     void on_ready(short events) override;
--- a/src/scheduler/net/socket.cpp
+++ b/src/scheduler/net/socket.cpp
@@ -68,7 +68,7 @@
     return fd;
 }
 
-Fd datagrams_at(const Endpoint& endpoint) {
+Fd bind_udp_socket(const Endpoint& endpoint) {
     Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (fd.valid() && ::bind(fd.get(), raw(endpoint), sizeof endpoint.address) != 0) {
         const int error = errno;
--- a/src/scheduler/net/socket.h
+++ b/src/scheduler/net/socket.h
@@ -46,9 +46,9 @@
 
 // Throws std::system_error. `shared`: other processes of this user may listen there too.
 Fd listen_on(const Endpoint& endpoint, bool shared = false);
-Fd accept_from(const Fd& listener);        // invalid, with errno, where there is none
-Fd connect_to(const Endpoint& endpoint);   // may be under way still; invalid, with errno, if refused at once
-Fd datagrams_at(const Endpoint& endpoint); // UDP; invalid, with errno, where the address cannot be had
+Fd accept_from(const Fd& listener);      // invalid, with errno, where there is none
+Fd connect_to(const Endpoint& endpoint); // may be under way still; invalid, with errno, if refused at once
+Fd bind_udp_socket(const Endpoint& endpoint); // UDP; invalid, with errno, where the address cannot be had
 Endpoint local_address(const Fd& fd);
 bool has_hung_up(const Fd& fd); // the other side has closed it, or sent what nobody asked for
 
--- a/src/scheduler/net/wheel.h
+++ b/src/scheduler/net/timer_wheel.h
@@ -11,17 +11,17 @@
 
 namespace willowrill::net {
 
-class Wheel;
+class TimerWheel;
 
 // A node of a ring; alone, it is a ring of its own.
-struct Link {
-    Link* before = this;
-    Link* after = this;
+struct TimerNode {
+    TimerNode* before = this;
+    TimerNode* after = this;
 
-    Link() = default;
-    ~Link() { unlink(); }
-    Link(const Link&) = delete;
-    Link& operator=(const Link&) = delete;
+    TimerNode() = default;
+    ~TimerNode() { unlink(); }
+    TimerNode(const TimerNode&) = delete;
+    TimerNode& operator=(const TimerNode&) = delete;
 
     bool alone() const { return after == this; }
     void unlink() {
@@ -29,7 +29,7 @@
         after->before = before;
         before = after = this;
     }
-    void insert_before(Link& other) {
+    void insert_before(TimerNode& other) {
         unlink();
         before = other.before;
         after = &other;
@@ -38,24 +38,24 @@
 };
 
 // Belongs to the object that waits; goes off once for each `arm`, and never after its destruction.
-class Timer : private Link {
+class Timer : private TimerNode {
   public:
-    Timer(Wheel& wheel, std::function<void()> action) : wheel_(wheel), action_(std::move(action)) {}
+    Timer(TimerWheel& wheel, std::function<void()> action) : wheel_(wheel), action_(std::move(action)) {}
 
     void arm(Time at); // replaces an earlier time
     void disarm() { unlink(); }
     bool armed() const { return !alone(); }
 
   private:
-    friend class Wheel;
-    Wheel& wheel_;
+    friend class TimerWheel;
+    TimerWheel& wheel_;
     std::function<void()> action_;
     std::int64_t due_ = 0; // in ticks
 };
 
-class Wheel {
+class TimerWheel {
   public:
-    explicit Wheel(Time start, Duration tick = std::chrono::milliseconds(1))
+    explicit TimerWheel(Time start, Duration tick = std::chrono::milliseconds(1))
         : tick_(tick), current_(start / tick) {}
 
     // Sets off what is due. A timer goes off at the first tick that is not before its time.
@@ -72,7 +72,7 @@
 
     Duration tick_;
     std::int64_t current_;
-    std::array<Link, 1024> slots_;
+    std::array<TimerNode, 1024> slots_;
 };
 
 inline void Timer::arm(Time at) { wheel_.add(*this, at); }
--- a/src/scheduler/upstream/pool.cpp
+++ b/src/scheduler/upstream/pool.cpp
@@ -33,8 +33,8 @@
     Channel(Pool& pool, core::WorkerId worker, const net::Endpoint& address, net::Fd fd)
         : worker(worker), address(address), pool_(pool), reader_(pool.fields_),
           connection_(pool.loop_, *this, std::move(fd), net::Connection::State::opening,
-                      net::http::read_ahead),
-          timer_(pool.loop_.wheel(), [this] { on_timer(); }) {}
+                      net::http::input_buffer_bytes),
+          timer_(pool.loop_.timer_wheel(), [this] { on_timer(); }) {}
 
     // The message must stay until the attempt has ended: while the connection comes up, the request waits
     // here.
@@ -111,7 +111,7 @@
         connection_.consume(parser_.feed(connection_.input()));
         switch (state_) {
         case State::idle: // nobody asked for anything
-            ++pool_.counters_.hung_up;
+            ++pool_.counters_.closed_by_worker;
             return pool_.drop(*this);
         case State::ending:
             return end_answer();
@@ -123,11 +123,13 @@
     }
 
     void read_probe() {
-        if (parser_.bad()) return end_probe(Outcome::error, pool_.counters_.nonsense);
+        if (parser_.bad()) return end_probe(Outcome::error, pool_.counters_.probe_malformed);
         if (!parser_.done()) return;
         const auto report = reader_.read_probe(parser_);
         const bool willing = parser_.head().status == 200;
-        ++(report ? pool_.counters_.told : willing ? pool_.counters_.nonsense : pool_.counters_.unwilling);
+        ++(report    ? pool_.counters_.probe_reports
+           : willing ? pool_.counters_.probe_malformed
+                     : pool_.counters_.probe_error_statuses);
         const auto self = shared_from_this();
         pool_.asking_.erase(worker);
         state_ = State::ending;
@@ -141,10 +143,10 @@
     }
 
     void read_answer() {
-        std::vector<Note> notes;
+        std::vector<ProgressNote> notes;
         const bool early = !connection_.all_sent();
         auto verdict = reader_.read(parser_, notes);
-        for (const Note& note : notes) {
+        for (const ProgressNote& note : notes) {
             note.started ? pool_.host_->attempt_started(job_, attempt_)
                          : pool_.host_->attempt_progress(job_, attempt_, note.share);
         }
@@ -179,32 +181,33 @@
     }
 
     void on_closed() override {
-        if (state_ == State::idle) ++pool_.counters_.hung_up;
+        if (state_ == State::idle) ++pool_.counters_.closed_by_worker;
         if (state_ == State::asked) {
             const bool answer_begun = parser_.begun();
             parser_.end_of_input();
-            std::vector<Note> notes;
+            std::vector<ProgressNote> notes;
             const bool whole = parser_.done(), answered = whole || answer_begun;
             const Outcome outcome = broken();
-            if (outcome == Outcome::connect_failed) ++pool_.counters_.refused;
+            if (outcome == Outcome::connect_failed) ++pool_.counters_.failed_unsent;
             auto verdict = whole ? reader_.read(parser_, notes) : std::nullopt;
             if (reused_ && !answered) pool_.reuse_failed();
             if (!verdict) verdict = Verdict{outcome};
             return finish(*verdict);
         }
         if (state_ == State::probing) // a kept connection may have been closed for having been idle
-            return end_probe(reused_ ? Outcome::error : Outcome::reset, pool_.counters_.lost);
+            return end_probe(reused_ ? Outcome::error : Outcome::reset,
+                             pool_.counters_.probe_connections_lost);
         pool_.drop(*this);
     }
 
     void on_timer() {
-        if (state_ == State::probing) return end_probe(Outcome::timed_out, pool_.counters_.late);
+        if (state_ == State::probing) return end_probe(Outcome::timed_out, pool_.counters_.probe_timeouts);
         if (state_ == State::asked) {
             const bool unsent = !connection_.all_sent();
-            if (unsent) ++pool_.counters_.refused;
+            if (unsent) ++pool_.counters_.failed_unsent;
             return finish({unsent ? Outcome::connect_failed : Outcome::timed_out});
         }
-        if (state_ == State::idle) ++pool_.counters_.retired;
+        if (state_ == State::idle) ++pool_.counters_.idle_timeouts;
         pool_.drop(*this);
     }
 
@@ -225,9 +228,9 @@
 
   private:
     Pool& pool_;
-    AnswerReader reader_;
+    ResponseReader reader_;
     net::Connection connection_;
-    net::http::Parser parser_{net::http::Parser::Kind::answer};
+    net::http::Parser parser_{net::http::Parser::Kind::response};
     net::Timer timer_;
     State state_ = State::idle;
     core::JobId job_ = 0;
@@ -254,7 +257,7 @@
     if (const auto found = busy_.find(channel.key()); found != busy_.end() && found->second == self)
         busy_.erase(found);
     --size_;
-    loop_.bury(self);
+    loop_.defer_destruction(self);
 }
 
 // The one used last is the one least likely to be closed at the other end.
@@ -271,7 +274,7 @@
         }
         // Writing to a connection that the worker has closed would end as a reset, and a job that must not
         // run twice would be lost to it.
-        ++counters_.hung_up;
+        ++counters_.closed_by_worker;
         drop(*channel);
         at = idle_.rbegin();
     }
@@ -279,7 +282,7 @@
 }
 
 void Pool::reuse_failed() {
-    ++counters_.reuse_failed;
+    ++counters_.reuse_failures;
     failures_ = distrust() + 1;
     failures_at_ = loop_.now();
 }
@@ -296,7 +299,7 @@
         drop(*idle_.front());
     } else if (!asking_.empty()) { // a probe never takes the place of a job
         const auto channel = asking_.begin()->second;
-        channel->end_probe(Outcome::not_sent, counters_.crowded_out);
+        channel->end_probe(Outcome::not_sent, counters_.probes_without_connection);
     } else {
         return false;
     }
@@ -324,7 +327,7 @@
     Outcome failure{};
     if (!channel) channel = open(worker, failure);
     if (!channel) {
-        ++counters_.refused;
+        ++counters_.failed_unsent;
         return host_->attempt_ended(job, attempt, failure, loop_.now());
     }
     busy_.emplace(key_of(job, attempt), channel);
@@ -340,7 +343,8 @@
     // What is kept for the next job is not closed to ask a question.
     if (!channel && size_ < limits_.connections) channel = open(worker, failure);
     if (!channel) {
-        ++(failure == Outcome::not_sent ? counters_.crowded_out : counters_.lost);
+        ++(failure == Outcome::not_sent ? counters_.probes_without_connection
+                                        : counters_.probe_connections_lost);
         return host_->probed(worker, failure, net::Duration(0), {});
     }
     asking_[worker] = channel;
@@ -354,12 +358,12 @@
     channel->finish({channel->sent() ? Outcome::cancelled : Outcome::not_sent});
 }
 
-void Pool::withdraw_unsent(core::JobId job, core::Index attempt) {
+void Pool::cancel_if_unsent(core::JobId job, core::Index attempt) {
     const auto found = busy_.find(key_of(job, attempt));
     if (found != busy_.end() && !found->second->sent()) cancel(job, attempt);
 }
 
-void Pool::limit(std::size_t connections) {
+void Pool::set_max_connections(std::size_t connections) {
     limits_.connections = connections;
     while (size_ > connections && !idle_.empty()) {
         ++counters_.evicted;
--- a/src/scheduler/upstream/pool.h
+++ b/src/scheduler/upstream/pool.h
@@ -5,7 +5,7 @@
 #include "scheduler/discovery_client/list.h"
 #include "scheduler/net/connection.h"
 #include "scheduler/net/http.h"
-#include "scheduler/upstream/answer.h"
+#include "scheduler/upstream/response_reader.h"
 
 #include <cstdint>
 #include <list>
@@ -22,12 +22,13 @@
 };
 
 struct PoolCounters {
-    std::uint64_t opened = 0, reused = 0, refused = 0, retired = 0, hung_up = 0, evicted = 0,
-                  reuse_failed = 0;
+    std::uint64_t opened = 0, reused = 0, failed_unsent = 0, idle_timeouts = 0, closed_by_worker = 0,
+                  evicted = 0, reuse_failures = 0;
     std::uint64_t written = 0; // attempts whose request went out to its last byte
     // Probes: sent to their last byte or not, and how they ended: with a report, with an answer that is no
     // 200, with one that holds no report, not in time, broken, or given up for a job's sake.
-    std::uint64_t probes = 0, told = 0, unwilling = 0, nonsense = 0, late = 0, lost = 0, crowded_out = 0;
+    std::uint64_t probes = 0, probe_reports = 0, probe_error_statuses = 0, probe_malformed = 0,
+                  probe_timeouts = 0, probe_connections_lost = 0, probes_without_connection = 0;
 };
 
 class Pool final : public core::Upstream {
@@ -40,14 +41,14 @@
     void start(core::JobId job, core::Index attempt, core::WorkerId worker, core::Time give_up,
                core::Time begin_by, const core::Message& message) override;
     void cancel(core::JobId job, core::Index attempt) override;
-    void withdraw_unsent(core::JobId job, core::Index attempt) override;
+    void cancel_if_unsent(core::JobId job, core::Index attempt) override;
     void probe(core::WorkerId worker) override;
-    void limit(std::size_t connections); // idle ones beyond it are closed
+    void set_max_connections(std::size_t connections); // idle ones beyond it are closed
     // To workers that drain, are gone or have moved: idle connections, and those that still come up.
     void close_unlisted();
 
     std::size_t size() const { return size_; }
-    std::size_t most() const { return limits_.connections; }
+    std::size_t max_connections() const { return limits_.connections; }
     const PoolCounters& counters() const { return counters_; }
 
   private:
--- a/src/scheduler/upstream/answer.cpp
+++ b/src/scheduler/upstream/response_reader.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/upstream/answer.h"
+#include "scheduler/upstream/response_reader.h"
 
 #include <simdjson.h>
 
@@ -34,17 +34,17 @@
 
 } // namespace
 
-struct AnswerReader::Json {
+struct ResponseReader::Json {
     simdjson::dom::parser parser;
 };
 
-AnswerReader::AnswerReader(const std::vector<config::ReportName>& fields)
+ResponseReader::ResponseReader(const std::vector<config::ReportName>& fields)
     : fields_(fields), json_(std::make_unique<Json>()) {}
-AnswerReader::~AnswerReader() = default;
+ResponseReader::~ResponseReader() = default;
 
-void AnswerReader::begin(std::string id) { id_ = std::move(id); }
+void ResponseReader::begin(std::string id) { id_ = std::move(id); }
 
-std::optional<Verdict> AnswerReader::read(net::http::Parser& parser, std::vector<Note>& notes) {
+std::optional<Verdict> ResponseReader::read(net::http::Parser& parser, std::vector<ProgressNote>& notes) {
     if (parser.bad()) return Verdict{Outcome::reset};
     if (!parser.head_done()) return std::nullopt;
     const net::http::Head& head = parser.head();
@@ -70,7 +70,7 @@
     return verdict; // the head came when the job was taken: a report in it would be old
 }
 
-std::optional<Report> AnswerReader::read_probe(net::http::Parser& parser) const {
+std::optional<Report> ResponseReader::read_probe(net::http::Parser& parser) const {
     if (!parser.done() || parser.head().status != 200) return std::nullopt;
     object json, load;
     if (json_->parser.parse(parser.body().data(), parser.body().size(), true).get(json) != SUCCESS)
@@ -79,7 +79,7 @@
 }
 
 // A line that is not what the protocol says, or speaks of another job, proves nothing: a reset.
-std::optional<Verdict> AnswerReader::read_line(std::string_view line, std::vector<Note>& notes) {
+std::optional<Verdict> ResponseReader::read_line(std::string_view line, std::vector<ProgressNote>& notes) {
     object json;
     std::string_view id, state;
     if (json_->parser.parse(line.data(), line.size(), true).get(json) != SUCCESS ||
@@ -90,7 +90,7 @@
         return std::nullopt;
     }
     if (state == "running") {
-        Note note;
+        ProgressNote note;
         if (json["share"].get(note.share) != SUCCESS) note.share = 0;
         notes.push_back(note);
         return std::nullopt;
@@ -109,7 +109,7 @@
     return verdict; // `lost`, or a word that is not known: a reset
 }
 
-std::optional<Report> AnswerReader::read_header(const net::http::Head& head) const {
+std::optional<Report> ResponseReader::read_header(const net::http::Head& head) const {
     std::optional<Report> report;
     const std::string* header = head.find("x-server-load");
     if (header == nullptr) return report;
--- a/src/scheduler/upstream/answer.h
+++ b/src/scheduler/upstream/response_reader.h
@@ -20,16 +20,16 @@
     std::string result{}; // of a job that was done, unescaped
 };
 
-struct Note {
+struct ProgressNote {
     bool started = false; // else progress
     double share = 0;
 };
 
 // Reads the answer to one attempt as it comes in.
-class AnswerReader {
+class ResponseReader {
   public:
-    explicit AnswerReader(const std::vector<config::ReportName>& fields);
-    ~AnswerReader();
+    explicit ResponseReader(const std::vector<config::ReportName>& fields);
+    ~ResponseReader();
 
     void begin(std::string id); // of the message that is out
 
@@ -38,10 +38,10 @@
     std::optional<willowrill::Report> read_probe(net::http::Parser& parser) const;
 
     // Looks at what the parser holds, and takes lines out of its body. Gives the verdict once there is one.
-    std::optional<Verdict> read(net::http::Parser& parser, std::vector<Note>& notes);
+    std::optional<Verdict> read(net::http::Parser& parser, std::vector<ProgressNote>& notes);
 
   private:
-    std::optional<Verdict> read_line(std::string_view line, std::vector<Note>& notes);
+    std::optional<Verdict> read_line(std::string_view line, std::vector<ProgressNote>& notes);
     std::optional<willowrill::Report> read_header(const net::http::Head& head) const;
 
     struct Json;
--- a/tests/lab/start_test.cpp
+++ b/tests/lab/start_test.cpp
@@ -86,7 +86,7 @@
     CHECK(at.client->has("not ready"));
     CHECK(at.jobs == 0);
     at.client->got.clear();
-    discovery.answer(*asked, net::http::write_answer(200, {}, list_of(2, at.worker.address(), "draining")));
+    discovery.answer(*asked, net::http::write_response(200, {}, list_of(2, at.worker.address(), "draining")));
     settle(discovery_loop, [&] { return at.client->has("HTTP/1.1 503 ") || (at.loop.run_once(1ms), false); });
     CHECK(at.client->has("HTTP/1.1 503 ")); // its job, of which nothing has been sent
     CHECK(at.jobs == 0);
--- a/tests/scheduler/core/host_test.cpp
+++ b/tests/scheduler/core/host_test.cpp
@@ -36,7 +36,7 @@
     return out;
 }
 
-class World final : public core::Upstream, public core::Inventory {
+class World final : public core::Upstream, public core::WorkerListSource {
   public:
     struct Requester final : core::Client {
         void on_served(std::string_view text) override { ++answers, served = true, result = text; }
@@ -71,7 +71,7 @@
         out_[{job, attempt}] = {&requester, give_up};
     }
     void cancel(core::JobId job, core::Index attempt) override { end({job, attempt}, Outcome::cancelled); }
-    void withdraw_unsent(core::JobId, core::Index) override {} // here a request goes out at once
+    void cancel_if_unsent(core::JobId, core::Index) override {} // here a request goes out at once
     void probe(core::WorkerId) override { FAIL("probes are not allowed here"); }
     void watch(bool) override { watched = true; }
 
@@ -103,14 +103,14 @@
         one.deadline = now + 3s;
         const std::string id = "m" + std::to_string(by_id_.size());
         by_id_[id] = &one;
-        const bool full = (host.open() >= 30);
+        const bool full = (host.open_messages() >= 30);
         core::Message message{.id = id,
                               .job_class = job_class,
                               .repeatable = one.effect == Effect::repeatable,
                               .deadline = one.deadline};
-        CHECK(host.take_in(std::move(message), one, one.job) == !full);
+        CHECK(host.admit(std::move(message), one, one.job) == !full);
         core::JobId unused = 0;
-        CHECK_FALSE(host.take_in({.id = id}, one, unused)); // the same id again, or full
+        CHECK_FALSE(host.admit({.id = id}, one, unused)); // the same id again, or full
         if (!full) return &one;
         by_id_.erase(id);
         requesters.pop_back();
@@ -124,11 +124,11 @@
             while (!out_.empty() && expired() != out_.end()) {
                 end(expired()->first, Outcome::timed_out);
             }
-            const auto next = host.next_batch();
+            const auto next = host.next_batch_time();
             if (!next || *next > now) continue;
             CHECK(now - last_batch_ >= 5ms); // at most once a tick
             last_batch_ = now;
-            host.batch(now);
+            host.run_batch(now);
         }
         for (Requester& one : requesters) {
             CHECK(one.answers <= 1);
@@ -147,7 +147,7 @@
                  .cell = worker / 3,
                  .condition = up ? willowrill::Condition::ready : willowrill::Condition::draining});
         }
-        host.list_news(std::move(news));
+        host.handle_worker_list(std::move(news));
     }
 
     void finish() {
@@ -156,11 +156,12 @@
             end(any_out(), Outcome::reset);
         }
         pass(50ms);
-        CHECK(host.open() == 0);
-        CHECK(host.attempts_out() == 0);
+        CHECK(host.open_messages() == 0);
+        CHECK(host.attempts_in_flight() == 0);
         const core::Counters& count = host.counters();
-        CHECK(count.taken_in == requesters.size());
-        CHECK(count.taken_in == count.served + count.refused + count.failed + count.left + count.overdue);
+        CHECK(count.admitted == requesters.size());
+        CHECK(count.admitted ==
+              count.served + count.refused + count.failed + count.clients_left + count.overdue);
         CHECK(count.overdue == 0); // the module has ended every message itself
         for (const Requester& one : requesters) {
             CHECK(one.answers == (one.left ? 0 : 1));
@@ -249,14 +250,14 @@
 TEST_CASE("the guard fails a message that is overdue, and nothing answers it again") {
     World world(1); // with no list, nothing can be sent
     World::Requester one;
-    REQUIRE(world.host.take_in({.id = "a", .deadline = world.now + 1s}, one, one.job));
-    world.host.overdue(one.job);
-    world.host.overdue(one.job);
+    REQUIRE(world.host.admit({.id = "a", .deadline = world.now + 1s}, one, one.job));
+    world.host.fail_overdue(one.job);
+    world.host.fail_overdue(one.job);
     world.host.client_left(one.job);
     world.pass(2s);
     CHECK(one.answers == 1);
     CHECK(world.host.counters().overdue == 1);
-    CHECK(world.host.counters().left == 0);
+    CHECK(world.host.counters().clients_left == 0);
     CHECK_FALSE(world.host.holds("a"));
 }
 
@@ -274,7 +275,7 @@
             world.pass(20ms);
         }
         REQUIRE(one->maybe > 0); // it is at a worker
-        world.host.cut_short(one->job);
+        world.host.abort_for_shutdown(one->job);
         CHECK(one->answers == 1);
         CHECK(one->refused == (job_class == 0));
     }
--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -28,7 +28,7 @@
 // The worker of the rig is at an address where connections do not come up, and one of them is out.
 struct Stalled {
     Stalled() {
-        rig.host.list_news(*rig.list.read(Rig::list_text(42, deaf.address)));
+        rig.host.handle_worker_list(*rig.list.read(Rig::list_text(42, deaf.address)));
         client = rig.client(Rig::job("a", patient));
         REQUIRE(rig.settle([&] { return rig.pool.size() == 1; }));
     }
@@ -58,13 +58,14 @@
     at.client->connection.close();
     CHECK(at.rig.settle([&] { return at.rig.pool.size() == 0; }));
     CHECK(ended(at.rig, willowrill::Outcome::not_sent) == 1);
-    CHECK(at.rig.host.counters().left == 1);
+    CHECK(at.rig.host.counters().clients_left == 1);
 }
 
 TEST_CASE("a worker that begins to drain while its connection comes up is not sent the request") {
     Stalled at;
     std::string drains = Rig::list_text(43, at.deaf.address);
-    at.rig.host.list_news(*at.rig.list.read(drains.replace(drains.find("\"up\""), 4, "\"draining\"")));
+    at.rig.host.handle_worker_list(
+        *at.rig.list.read(drains.replace(drains.find("\"up\""), 4, "\"draining\"")));
     at.rig.pool.close_unlisted();
     CHECK(at.rig.pool.size() == 0);
     CHECK(ended(at.rig, willowrill::Outcome::not_sent) == 1);
@@ -98,7 +99,7 @@
     std::string list = rig.list_text(43);
     list.insert(list.rfind("]}"), R"(,{"id":"s2","addr":")" + deaf.address.text() +
                                       R"(","zone":"a","kind":"m1","state":"up","started_ms":0})");
-    rig.host.list_news(*rig.list.read(list));
+    rig.host.handle_worker_list(*rig.list.read(list));
     rig.worker.peers[0]->connection.close(); // it may have run
     CHECK(rig.settle([&] { return client->has("HTTP/1.1 502 "); }));
     CHECK(rig.host.counters().sent == 2);
@@ -111,7 +112,7 @@
     const auto client = rig.client(Rig::job("a", patient) + std::string(100000, 'x'));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     client->connection.close_when_sent();
-    CHECK(rig.settle([&] { return rig.host.counters().left == 1; }));
+    CHECK(rig.settle([&] { return rig.host.counters().clients_left == 1; }));
 }
 
 // The second answer to a job, a few milliseconds late, passed for the next one's, which had "never run".
@@ -123,8 +124,8 @@
     REQUIRE(rig.settle([&] { return client->has("of a"); }));
     client->connection.write(Rig::job("b", patient));
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
-    rig.worker.peers[0]->connection.write(net::http::write_answer(503, {{"X-Not-Processed", "1"}}, ""));
-    CHECK(rig.settle([&] { return rig.pool.counters().hung_up == 1; })); // it proves nothing of `b`
+    rig.worker.peers[0]->connection.write(net::http::write_response(503, {{"X-Not-Processed", "1"}}, ""));
+    CHECK(rig.settle([&] { return rig.pool.counters().closed_by_worker == 1; })); // it proves nothing of `b`
     CHECK(ended(rig, willowrill::Outcome::full) == 0);
     rig.worker.peers[1]->connection.write(Rig::done("b", "of b"));
     CHECK(rig.settle([&] { return client->has("of b"); }));
@@ -145,22 +146,22 @@
 
 TEST_CASE("arrival times: bytes count as come when they did, and never later") {
     frontend::ArrivalTimes times;
-    CHECK(times.first(9s) == 9s);
-    times.waiting(10, 1s, false);
-    times.waiting(30, 2s, false);
-    CHECK(times.first(9s) == 1s);
-    times.taken(10);
-    CHECK(times.first(9s) == 2s);
-    times.taken(20);
-    CHECK(times.first(9s) == 9s);
-    times.waiting(5, 3s, true); // no room for more, which may be here already
-    times.taken(5);
-    times.waiting(5, 8s, false);
-    CHECK(times.first(9s) == 3s);
+    CHECK(times.first_unread(9s) == 9s);
+    times.record_unread(10, 1s, false);
+    times.record_unread(30, 2s, false);
+    CHECK(times.first_unread(9s) == 1s);
+    times.record_consumed(10);
+    CHECK(times.first_unread(9s) == 2s);
+    times.record_consumed(20);
+    CHECK(times.first_unread(9s) == 9s);
+    times.record_unread(5, 3s, true); // no room for more, which may be here already
+    times.record_consumed(5);
+    times.record_unread(5, 8s, false);
+    CHECK(times.first_unread(9s) == 3s);
     for (std::size_t size = 6; size < 100; ++size) // a byte at a time: the table is bounded
-        times.waiting(size, net::Time(1s) * size, false);
-    times.taken(98);
-    CHECK(times.first(200s) <= 98s);
+        times.record_unread(size, net::Time(1s) * size, false);
+    times.record_consumed(98);
+    CHECK(times.first_unread(200s) <= 98s);
 }
 
 // The end dropped what it had read of further requests, and their clients never had an answer.
@@ -168,8 +169,8 @@
     Rig rig(10, 10, patient_settings());
     const auto client = rig.client(Rig::job("a", patient) + Rig::job("b", patient) + Rig::job("c", patient));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
-    rig.front.leave(rig.loop.now());
-    rig.front.finish();
+    rig.front.begin_shutdown(rig.loop.now());
+    rig.front.finish_shutdown();
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
     REQUIRE(rig.settle([&] { return client->closed; }));
     CHECK(client->has("of a"));
@@ -184,8 +185,8 @@
     Rig rig(10, 10, patient_settings());
     const auto client = rig.client(Rig::job("a", patient) + "\r\n");
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
-    rig.front.leave(rig.loop.now());
-    rig.front.finish();
+    rig.front.begin_shutdown(rig.loop.now());
+    rig.front.finish_shutdown();
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
     CHECK(rig.settle([&] { return rig.front.empty(); }));
     CHECK(client->has("of a"));
@@ -232,7 +233,7 @@
         REQUIRE(rig.settle(
             [&] { return discovery.peers.size() > call && discovery.peers[call]->has("hold_ms=1 "); }));
         const net::Time refused = rig.loop.now();
-        discovery.peers[call]->connection.write(net::http::write_answer(503, {}, ""));
+        discovery.peers[call]->connection.write(net::http::write_response(503, {}, ""));
         REQUIRE(rig.settle([&] { return discovery.peers.size() > call + 1; }));
         CHECK(rig.loop.now() - refused >= load_estimates::first_back_off / 2);
     }
--- a/tests/scheduler/dispatcher/property_test.cpp
+++ b/tests/scheduler/dispatcher/property_test.cpp
@@ -108,10 +108,10 @@
                 out.node->host.attempt_progress(key.job, key.attempt, step.b / 50.0 - 0.3);
             return;
         case 7: // at a reload, perhaps below what is in use
-            return node.host.limit(step.b % 3 == 0 ? 0 : 1U << 20U);
+            return node.host.set_max_bytes(step.b % 3 == 0 ? 0 : 1U << 20U);
         default: // what an orderly end does not wait for
             for (Requester& one : requesters_) {
-                if (one.node == &node && one.open) node.host.cut_short(one.job);
+                if (one.node == &node && one.open) node.host.abort_for_shutdown(one.job);
             }
         }
     }
@@ -128,10 +128,12 @@
         for (Node& node : nodes_) {
             ledger.check(node.self, now);
             const core::Counters& count = node.host.counters();
-            if (node.host.open() != 0 || node.host.attempts_out() != 0) say("something is open for good");
+            if (node.host.open_messages() != 0 || node.host.attempts_in_flight() != 0)
+                say("something is open for good");
             if (!node.host.ids().empty()) say("an id is kept for good");
             if (count.overdue != 0) say("the guard had to answer");
-            if (count.taken_in != count.served + count.refused + count.failed + count.cut_short + count.left)
+            if (count.admitted !=
+                count.served + count.refused + count.failed + count.aborted_by_shutdown + count.clients_left)
                 say("messages and their ends differ in number");
         }
     }
@@ -189,7 +191,7 @@
         Time give_up{0};
     };
 
-    struct Node final : core::Upstream, core::Inventory {
+    struct Node final : core::Upstream, core::WorkerListSource {
         Node(World& in, const Settings& settings)
             : world(in), self(settings.self), probes(settings.probes), reports(settings.reports_with_answers),
               host(settings, 200, 1U << 20U, *this, *this) {}
@@ -204,7 +206,7 @@
         void cancel(core::JobId job, Index attempt) override {
             world.end({self, job, attempt}, Outcome::cancelled, 0);
         }
-        void withdraw_unsent(core::JobId, core::Index) override {} // here a request goes out at once
+        void cancel_if_unsent(core::JobId, core::Index) override {} // here a request goes out at once
         void probe(WorkerId worker) override {
             if (!probes) return world.say("a probe where none is allowed");
             if (!world.probed_.emplace(Asked{self, worker}, world.now + 20ms).second)
@@ -280,7 +282,7 @@
                               .repeatable = ledger.effect_of(job_class % 6) == Effect::repeatable,
                               .deadline = one.deadline};
         const Index known = message.job_class;
-        if (node.host.take_in(std::move(message), one, one.job))
+        if (node.host.admit(std::move(message), one, one.job))
             return ledger.arrived(node.self, one.job, known, one.deadline);
         if (node.host.holds(one.id)) say("turned away and held all the same");
         requesters_.pop_back();
@@ -339,7 +341,7 @@
     }
     void tell(Node& node, const EndpointListUpdate& news) {
         ledger.told(node.self, now, news);
-        node.host.list_news(news);
+        node.host.handle_worker_list(news);
     }
 
     void leave(Requester& one) {
@@ -360,7 +362,7 @@
                 if (one.open) next = std::min(next, one.deadline + 1ms);
             }
             for (const Node& node : nodes_)
-                next = std::min(next, node.host.next_batch().value_or(until));
+                next = std::min(next, node.host.next_batch_time().value_or(until));
             for (const auto& [asked, at] : probed_)
                 next = std::min(next, at);
             now = std::clamp(next, now, until);
@@ -383,15 +385,16 @@
                 end(late->first, Outcome::timed_out, 0);
             }
             for (Requester& one : requesters_) {
-                if (one.open && one.deadline < now) one.node->host.overdue(one.job); // the frontend's guard
+                if (one.open && one.deadline < now)
+                    one.node->host.fail_overdue(one.job); // the frontend's guard
             }
             bool any = false;
             for (Node& node : nodes_) {
-                const auto due = node.host.next_batch();
+                const auto due = node.host.next_batch_time();
                 if (!due || *due > now) continue;
                 any = true;
-                node.host.batch(now);
-                const auto again = node.host.next_batch();
+                node.host.run_batch(now);
+                const auto again = node.host.next_batch_time();
                 if (!again || *again > now) ledger.check(node.self, now);
             }
             if (!any && now >= until) return;
--- a/tests/scheduler/hot_restart/upgrade_test.cpp
+++ b/tests/scheduler/hot_restart/upgrade_test.cpp
@@ -70,9 +70,9 @@
     CHECK(settle(loop, [&] { return old_run->succession.succeeded(); }));
     CHECK(old_run->successor == true);
     CHECK(settle(loop, [&] { return new_run.succession.holds("a"); })); // open before the new run came
-    old_run->succession.closed("a");
-    old_run->succession.opened("b");
-    new_run.succession.opened("c");
+    old_run->succession.on_message_closed("a");
+    old_run->succession.on_message_opened("b");
+    new_run.succession.on_message_opened("c");
     CHECK(settle(loop, [&] { return new_run.succession.holds("b") && old_run->succession.holds("c"); }));
     CHECK_FALSE(new_run.succession.holds("a"));
     CHECK_FALSE(new_run.succession.holds("c")); // its own
@@ -97,9 +97,9 @@
         old_run.open.insert("before " + std::to_string(i));
     FakeRun new_run(loop, door, ask(loop, door, net::local_address(old_run.fd)));
     for (int i = 0; i < 5000; ++i) {
-        old_run.succession.opened("old " + std::to_string(i));
-        new_run.succession.opened("new " + std::to_string(i));
-        if (i % 2 == 0) old_run.succession.closed("old " + std::to_string(i));
+        old_run.succession.on_message_opened("old " + std::to_string(i));
+        new_run.succession.on_message_opened("new " + std::to_string(i));
+        if (i % 2 == 0) old_run.succession.on_message_closed("old " + std::to_string(i));
     }
     new_run.succession.serve();
     CHECK(settle(loop, [&] { return old_run.successor == true; }));
--- a/tests/scheduler/net/connection_test.cpp
+++ b/tests/scheduler/net/connection_test.cpp
@@ -173,7 +173,7 @@
 }
 
 TEST_CASE("timers go off in order, once, and not after they are disarmed") {
-    net::Wheel wheel(0ms);
+    net::TimerWheel wheel(0ms);
     std::string log;
     net::Timer a(wheel, [&] { log += 'a'; }), c(wheel, [&] { log += 'c'; });
     net::Timer b(wheel, [&] {
@@ -204,7 +204,7 @@
 TEST_CASE("a flood of one signal does not hide another") {
     net::Loop loop;
     std::vector<int> told;
-    const net::Signals signals(loop, {SIGUSR1, SIGUSR2}, [&](int signal) { told.push_back(signal); });
+    const net::SignalHandler signals(loop, {SIGUSR1, SIGUSR2}, [&](int signal) { told.push_back(signal); });
     for (int i = 0; i < 70000; ++i)
         std::raise(SIGUSR1);
     std::raise(SIGUSR2);
--- a/tests/scheduler/net/http_test.cpp
+++ b/tests/scheduler/net/http_test.cpp
@@ -77,8 +77,8 @@
     CHECK(error_of(start + "Transfer-Encoding: chunked\r\n\r\nzz\r\n") == 400);
     CHECK(error_of(start + "Transfer-Encoding: chunked\r\n\r\n10001\r\n") == 413);
     CHECK(error_of(start + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n") == 400);
-    CHECK(error_of(start + "A: " + std::string(net::http::most_head, 'a')) == 431);
-    CHECK(error_of(std::string(net::http::most_head + 1, 'A')) == 431);
+    CHECK(error_of(start + "A: " + std::string(net::http::max_head_bytes, 'a')) == 431);
+    CHECK(error_of(std::string(net::http::max_head_bytes + 1, 'A')) == 431);
     std::string many = start;
     for (int i = 0; i < 2000; ++i)
         many += "A: 12345\r\n";
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("answers: interim ones are skipped, one without a length ends with the connection") {
-    Parser parser(Kind::answer);
+    Parser parser(Kind::response);
     parser.feed("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab");
     CHECK(parser.head().status == 200);
     CHECK_FALSE(parser.head().keeps_alive());
@@ -100,12 +100,12 @@
     CHECK(parser.done());
     CHECK(parser.body() == "ab");
 
-    Parser cut(Kind::answer);
+    Parser cut(Kind::response);
     cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
     cut.end_of_input();
     CHECK(cut.bad());
-    CHECK(error_of("HTTP/1.1 20 OK\r\n", Kind::answer) == 400);
-    CHECK(error_of("SSH-2.0-x\r\n", Kind::answer) == 400);
+    CHECK(error_of("HTTP/1.1 20 OK\r\n", Kind::response) == 400);
+    CHECK(error_of("SSH-2.0-x\r\n", Kind::response) == 400);
 }
 
 TEST_CASE("what is written can be read") {
@@ -113,8 +113,8 @@
     request.feed(net::http::write_request("POST", "/a", {{"Host", "h"}}, "body"));
     CHECK(request.done());
     CHECK(request.body() == "body");
-    Parser answer(Kind::answer);
-    answer.feed(net::http::write_answer(503, {{"Retry-After", "1.500"}}, ""));
+    Parser answer(Kind::response);
+    answer.feed(net::http::write_response(503, {{"Retry-After", "1.500"}}, ""));
     CHECK(answer.done());
     CHECK(*answer.head().find("retry-after") == "1.500");
 }
@@ -124,7 +124,7 @@
     const std::string alphabet =
         "POST / HTTP/1.1\r\n:chunkedTransfer-EncodingContent-Length0123456789abcdef;, ";
     for (int i = 0; i < 3000; ++i) {
-        Parser parser(i % 2 == 0 ? Kind::request : Kind::answer);
+        Parser parser(i % 2 == 0 ? Kind::request : Kind::response);
         std::string bytes = i % 4 < 2 ? "" : (i % 2 == 0 ? "POST / HTTP/1.1\r\n" : "HTTP/1.1 200 OK\r\n");
         while (bytes.size() < 300)
             bytes += alphabet[random() % alphabet.size()];
--- a/tests/scheduler/net/loop_test.cpp
+++ b/tests/scheduler/net/loop_test.cpp
@@ -16,7 +16,7 @@
 // Goes off again and again, as the program's periodic work does.
 struct Periodic {
     Periodic(net::Loop& loop, net::Duration period)
-        : loop(loop), period(period), timer(loop.wheel(), [this] { fire(); }) {
+        : loop(loop), period(period), timer(loop.timer_wheel(), [this] { fire(); }) {
         timer.arm(loop.now() + period);
     }
     void fire() {
@@ -50,7 +50,7 @@
         }
         CHECK(due == timers);
         loop.run_once(50ms);
-        CHECK(loop.rounds_since_wait() == 0);
+        CHECK(loop.iterations_since_idle() == 0);
     }
 }
 
@@ -58,7 +58,7 @@
 // from one slot to the next, it would never wait.
 TEST_CASE("loop: timers that are due in a later turn of the wheel wake nobody") {
     constexpr net::Time start{0};
-    net::Wheel wheel(start);
+    net::TimerWheel wheel(start);
     int fired = 0;
     std::deque<net::Timer> timers;
     for (int i = 0; i < 500; ++i) {
@@ -83,7 +83,7 @@
     net::Time due = loop.now();
     int fired = 0;
     net::Timer* self = nullptr;
-    net::Timer timer(loop.wheel(), [&] {
+    net::Timer timer(loop.timer_wheel(), [&] {
         ++fired;
         self->arm(due += 1ms); // catches up with what it missed, one period at a time
     });
@@ -93,7 +93,7 @@
     for (int round = 0; round < 20; ++round)
         loop.run_once(1s);
     CHECK(fired <= 20);
-    CHECK(loop.rounds_since_wait() <= 1);
+    CHECK(loop.iterations_since_idle() <= 1);
 }
 
 } // namespace willowrill::testing
--- a/tests/scheduler/program/clock_jump_test.cpp
+++ b/tests/scheduler/program/clock_jump_test.cpp
@@ -17,7 +17,7 @@
 int rounds_until_wait(net::Loop& loop) {
     for (int round = 1; round <= 1000; ++round) {
         loop.run_once(20ms);
-        if (loop.rounds_since_wait() == 0) return round;
+        if (loop.iterations_since_idle() == 0) return round;
     }
     return 1000;
 }
@@ -63,7 +63,7 @@
     paused.rounds_after(300s);
     const std::size_t before = paused.rig.worker.peers.size();
     const auto client = paused.rig.client(Rig::job("77"));
-    REQUIRE(paused.rig.settle([&] { return paused.rig.host.counters().taken_in > few / 2; }));
+    REQUIRE(paused.rig.settle([&] { return paused.rig.host.counters().admitted > few / 2; }));
     CHECK(paused.rig.settle(
         [&] { return paused.rig.worker.peers.size() > before || client->has("HTTP/1.1 "); }));
 }
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -2,7 +2,7 @@
 #include "scheduler/config/settings.h"
 #include "scheduler/discovery_client/list.h"
 #include "scheduler/frontend/request.h"
-#include "scheduler/upstream/answer.h"
+#include "scheduler/upstream/response_reader.h"
 #include "support/rapid.h"
 
 #include <doctest/doctest.h>
@@ -320,12 +320,12 @@
 
 TEST_CASE("workers' answers mean what the protocol's table says") {
     const auto fields = test_settings().report_fields;
-    upstream::AnswerReader reader(fields);
-    std::vector<upstream::Note> notes;
+    upstream::ResponseReader reader(fields);
+    std::vector<upstream::ProgressNote> notes;
     const auto read = [&](const std::string& answer, bool ends = true) {
         reader.begin("a");
         notes.clear();
-        net::http::Parser parser(net::http::Parser::Kind::answer);
+        net::http::Parser parser(net::http::Parser::Kind::response);
         parser.feed(answer);
         if (ends) parser.end_of_input();
         return reader.read(parser, notes);
@@ -402,10 +402,10 @@
 
 TEST_CASE("the answer to a probe holds a load report, in whichever form, or none") {
     const config::Settings settings = test_settings(); // its fields: load_share, x0
-    const upstream::AnswerReader reader(settings.report_fields);
+    const upstream::ResponseReader reader(settings.report_fields);
     const auto read = [&](int status, const std::string& body, const net::http::Fields& fields = {}) {
-        net::http::Parser parser(net::http::Parser::Kind::answer);
-        parser.feed(net::http::write_answer(status, fields, body));
+        net::http::Parser parser(net::http::Parser::Kind::response);
+        parser.feed(net::http::write_response(status, fields, body));
         return reader.read_probe(parser);
     };
     for (const auto& report :
@@ -467,7 +467,7 @@
         CAPTURE(bad);
         CHECK_FALSE(read(bad));
         CHECK(rejection.status == 400);
-        CHECK_FALSE(rejection.why.empty());
+        CHECK_FALSE(rejection.reason.empty());
     }
 }
 
--- a/tests/scheduler/program/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("a connection that never comes up proves that the job never ran") {
     const Deaf deaf;
     Rig rig;
-    rig.host.list_news(*rig.list.read(Rig::list_text(42, deaf.address)));
+    rig.host.handle_worker_list(*rig.list.read(Rig::list_text(42, deaf.address)));
     const auto client = rig.client(Rig::job("a"));
     CHECK(rig.settle([&] { return client->has("HTTP/1.1 503 "); }));
     const auto& outcomes = rig.host.counters().outcomes;
@@ -58,7 +58,7 @@
     std::string list = rig.list_text(43);
     list.replace(list.find("\"up\""), 4, "\"draining\"");
     rig.discovery.peers[1]->got.clear();
-    rig.discovery.peers[1]->connection.write(net::http::write_answer(200, {}, list));
+    rig.discovery.peers[1]->connection.write(net::http::write_response(200, {}, list));
     CHECK(rig.settle([&] { return news_of_drain == 1; }));
     CHECK(asked(1, "?from=43&hold_ms=")); // the watch goes on where it was answered
     CHECK(rig.settle([&] { return rig.discovery.peers[0]->closed; }));
@@ -92,7 +92,7 @@
     CHECK(rig.settle([&] { return client->has("\r\n\r\nx\"y\nz"); })); // not held back by the answer's end
     CHECK(client->has("HTTP/1.1 200 OK\r\n"));
     worker.connection.write("\r\n0\r\n\r\n");
-    rig.settle([&] { return rig.host.attempts_out() == 0; });
+    rig.settle([&] { return rig.host.attempts_in_flight() == 0; });
     rig.wait(30ms);                                          // the answer's end arrives
     client->connection.write(Rig::job("b") + Rig::job("c")); // one after the other, in order
     REQUIRE(rig.worker_has(0, "X-Request-ID: b"));
@@ -118,7 +118,7 @@
     rig.worker.peers[0]->connection.close();
     client->connection.write(Rig::job("b"));
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
-    CHECK(rig.pool.counters().hung_up == 1);
+    CHECK(rig.pool.counters().closed_by_worker == 1);
     CHECK(rig.host.counters().outcomes[static_cast<std::size_t>(willowrill::Outcome::reset)] == 0);
 }
 
@@ -139,19 +139,20 @@
         rig.worker.peers.back()->connection.write(text);
         return rig.settle([&] { return counter == 1; });
     };
-    CHECK(answered(net::http::write_answer(200, {}, R"({"util":0.5,"x0":2})"), counted.told));
-    CHECK(answered(net::http::write_answer(503, {}, ""), counted.unwilling));
+    CHECK(answered(net::http::write_response(200, {}, R"({"util":0.5,"x0":2})"), counted.probe_reports));
+    CHECK(answered(net::http::write_response(503, {}, ""), counted.probe_error_statuses));
     CHECK(rig.worker.peers.size() == 1); // all on the connection that the job left
-    CHECK(answered("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counted.nonsense));
+    CHECK(answered("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counted.probe_malformed));
     CHECK(rig.pool.size() == 0); // a body that would never end is not read
     // Silence is late, and a break is lost; neither is told twice.
     rig.pool.probe(0);
-    CHECK(rig.settle([&] { return counted.late == 1; }));
+    CHECK(rig.settle([&] { return counted.probe_timeouts == 1; }));
     rig.pool.probe(0);
     REQUIRE(rig.settle([&] { return rig.worker.peers.size() == 3; }));
     rig.worker.peers[2]->connection.close();
-    CHECK(rig.settle([&] { return counted.lost == 1; }));
-    CHECK(counted.told + counted.unwilling + counted.nonsense + counted.late + counted.lost ==
+    CHECK(rig.settle([&] { return counted.probe_connections_lost == 1; }));
+    CHECK(counted.probe_reports + counted.probe_error_statuses + counted.probe_malformed +
+              counted.probe_timeouts + counted.probe_connections_lost ==
           counted.probes);
     CHECK(counted.written == 1); // none of them counts as an attempt
 }
@@ -165,8 +166,8 @@
     CHECK(rig.pool.counters().probes == 1);
     REQUIRE(
         rig.settle([&] { return rig.worker.peers.size() == 1 && rig.worker.peers[0]->has("/status/load"); }));
-    rig.worker.peers[0]->connection.write(net::http::write_answer(200, {}, R"({"util":0.5})"));
-    CHECK(rig.settle([&] { return rig.pool.counters().told == 1; }));
+    rig.worker.peers[0]->connection.write(net::http::write_response(200, {}, R"({"util":0.5})"));
+    CHECK(rig.settle([&] { return rig.pool.counters().probe_reports == 1; }));
     rig.worker.peers[0]->connection.close();
     CHECK(rig.settle([&] { return rig.pool.size() == 0; }));
 }
@@ -175,10 +176,10 @@
     Rig rig(10, 1); // room for one
     rig.pool.probe(0);
     const auto client = rig.client(Rig::job("a"));
-    REQUIRE(rig.settle([&] { return rig.pool.counters().crowded_out == 1; }));
+    REQUIRE(rig.settle([&] { return rig.pool.counters().probes_without_connection == 1; }));
     CHECK(rig.settle([&] { return rig.worker.peers.size() == 2 && rig.worker.peers[1]->has("\r\n\r\nhi"); }));
     rig.pool.probe(0); // the job has the one there is
-    CHECK(rig.pool.counters().crowded_out == 2);
+    CHECK(rig.pool.counters().probes_without_connection == 2);
     rig.worker.peers[1]->connection.write(Rig::done("a", "1"));
     CHECK(rig.settle([&] { return client->has("\r\n\r\n1"); }));
 }
@@ -197,7 +198,7 @@
     Rig rig;
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
-    rig.worker.peers[0]->connection.write(net::http::write_answer(503, {{"X-Not-Processed", "1"}}, ""));
+    rig.worker.peers[0]->connection.write(net::http::write_response(503, {{"X-Not-Processed", "1"}}, ""));
     CHECK(rig.settle([&] { return client->has("HTTP/1.1 503 "); }));
     CHECK(client->has("Retry-After: 2.000\r\n"));
     CHECK_FALSE(client->closed);
@@ -210,8 +211,8 @@
     client->connection.close();
     CHECK(rig.settle([&] { return rig.worker.peers[0]->closed; }));
     CHECK(rig.settle([&] { return rig.front.empty(); }));
-    CHECK(rig.host.counters().left == 1);
-    CHECK(rig.host.open() == 0);
+    CHECK(rig.host.counters().clients_left == 1);
+    CHECK(rig.host.open_messages() == 0);
 }
 
 TEST_CASE("requests that cannot be taken get their status and a close") {
@@ -233,7 +234,7 @@
     CHECK(rig.settle([&] { return client->has("HTTP/1.1 405 "); }));
     CHECK(client->has("HTTP/1.1 200 "));
     CHECK_FALSE(client->closed);
-    CHECK(rig.host.counters().taken_in == 0);
+    CHECK(rig.host.counters().admitted == 0);
 }
 
 TEST_CASE("descriptors: idle connections give way, and what must wait is served later") {
@@ -297,9 +298,9 @@
         return std::string(R"({"id":")") + id + R"(","addr":")" + at.text() +
                R"(","zone":"a","kind":"m1","state":")" + state + "\"}";
     };
-    rig.host.list_news(*rig.list.read(R"({"version":43,"full":false,"servers":[)" +
-                                      entry("s1", rig.worker.address, "draining") + "," +
-                                      entry("s2", second.address, "up") + "]}"));
+    rig.host.handle_worker_list(*rig.list.read(R"({"version":43,"full":false,"servers":[)" +
+                                               entry("s1", rig.worker.address, "draining") + "," +
+                                               entry("s2", second.address, "up") + "]}"));
     client->connection.write(Rig::job("b"));
     CHECK(rig.settle([&] { return second.peers.size() == 1 && second.peers[0]->has("X-Request-ID: b"); }));
     CHECK(rig.pool.counters().evicted == 1);
@@ -314,10 +315,10 @@
                                      std::string(65536, 'a')));
         REQUIRE(rig.settle([&] { return rig.front.counters().requests == clients.size(); }));
     }
-    CHECK(rig.host.counters().taken_in == 3);
+    CHECK(rig.host.counters().admitted == 3);
     CHECK(rig.settle([&] { return clients.back()->has("HTTP/1.1 503 "); }));
     const auto small = rig.client(Rig::job("small"));
-    CHECK(rig.settle([&] { return rig.host.counters().taken_in == 4; }));
+    CHECK(rig.settle([&] { return rig.host.counters().admitted == 4; }));
 }
 
 // A reload may set limits below what is in use: what is open goes on, what comes is told when to come back.
@@ -327,19 +328,19 @@
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     const auto half = rig.client("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: half\r\n");
     REQUIRE(rig.settle([&] { return rig.front.size() == 2; }));
-    rig.front.limit(1);
-    rig.pool.limit(0);
-    rig.host.limit(0);
+    rig.front.set_max_connections(1);
+    rig.pool.set_max_connections(0);
+    rig.host.set_max_bytes(0);
     half->connection.write("X-Priority-Class: once\r\nContent-Length: 2\r\n\r\nhi");
     CHECK(rig.settle([&] { return half->has("HTTP/1.1 503 "); }));
     CHECK(half->has("Retry-After: 2.000\r\n"));
     rig.worker.peers[0]->connection.write(Rig::done("busy", "whole"));
     CHECK(rig.settle([&] { return busy->has("whole"); }));
-    rig.front.limit(10);
-    rig.pool.limit(10);
-    rig.host.limit(1U << 20U);
+    rig.front.set_max_connections(10);
+    rig.pool.set_max_connections(10);
+    rig.host.set_max_bytes(1U << 20U);
     busy->connection.write(Rig::job("next"));
-    CHECK(rig.settle([&] { return rig.host.attempts_out() == 1; }));
+    CHECK(rig.settle([&] { return rig.host.attempts_in_flight() == 1; }));
 }
 
 TEST_CASE("where kept connections break at their next request, jobs that must not run twice go on new ones") {
@@ -364,7 +365,7 @@
         REQUIRE(rig.worker_has(peer, "X-Request-ID: " + id));
         rig.worker.peers[peer]->connection.close();
         REQUIRE(rig.settle([&] { return client->has("HTTP/1.1 502 "); }));
-        CHECK(rig.pool.counters().reuse_failed == broken);
+        CHECK(rig.pool.counters().reuse_failures == broken);
     }
     serve(); // on a new one, which is kept
     const auto [id, client] = send();
@@ -389,7 +390,7 @@
     waiting->connection.write(Rig::job("b"));
     const auto late = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return late->has("503"); });
-    rig.front.leave(rig.loop.now() + 60s);
+    rig.front.begin_shutdown(rig.loop.now() + 60s);
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
     rig.loop.run_once(5ms); // in which what comes is later than the leave
     idle->connection.write(Rig::job("c"));
@@ -398,12 +399,12 @@
     CHECK(rig.settle([&] { return idle->has("of c"); }));
     CHECK_FALSE(idle->closed);
     late->connection.write(Rig::job("d"));
-    CHECK(rig.settle([&] { return rig.host.open() == 3; }));
-    REQUIRE(rig.settle([&] { return rig.host.attempts_out() == 3; }));
-    rig.front.finish();
+    CHECK(rig.settle([&] { return rig.host.open_messages() == 3; }));
+    REQUIRE(rig.settle([&] { return rig.host.attempts_in_flight() == 3; }));
+    rig.front.finish_shutdown();
     CHECK(rig.settle([&] { return idle->closed && late->closed; }));
     CHECK(late->has("HTTP/1.1 502 ")); // it came after the leave, and may have run
-    CHECK(rig.host.counters().cut_short == 1);
+    CHECK(rig.host.counters().aborted_by_shutdown == 1);
     CHECK_FALSE(busy->closed);
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
     rig.worker.peers[1]->connection.write(Rig::done("b", "of b"));
@@ -425,8 +426,8 @@
     rig.settle([&] { return idle->has("200"); });
     const auto fresh = rig.client(""); // its first request is on its way
     rig.settle([&] { return rig.front.size() == 3; });
-    rig.front.accept(false);
-    rig.front.hand_on(rig.loop.now() + 60s);
+    rig.front.set_accepting(false);
+    rig.front.hand_over(rig.loop.now() + 60s);
     CHECK(rig.settle([&] { return idle->closed; }));
     fresh->connection.write(Rig::job("b"));
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
@@ -442,12 +443,12 @@
     Rig rig;
     const auto client = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return client->has("200"); });
-    rig.front.leave(rig.loop.now());
+    rig.front.begin_shutdown(rig.loop.now());
     client->connection.write(Rig::job("a"));
     CHECK(rig.settle([&] { return client->closed; }));
     CHECK(client->has("HTTP/1.1 503 "));
     CHECK(client->has("Retry-After: 0.250\r\n")); // others have room now
-    CHECK(rig.host.counters().taken_in == 0);
+    CHECK(rig.host.counters().admitted == 0);
 }
 
 TEST_CASE("a lame duck sends its clients away, takes no job late, and serves again once it is off") {
@@ -457,8 +458,8 @@
     const auto idle = rig.client(check);
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     rig.settle([&] { return idle->has("200"); });
-    rig.front.lame_duck(true);
-    rig.front.lame_duck(true); // asked again, it goes on
+    rig.front.set_lame_duck(true);
+    rig.front.set_lame_duck(true); // asked again, it goes on
     const auto asking = rig.client(check);
     CHECK(rig.settle([&] { return asking->closed; }));
     CHECK(asking->has("HTTP/1.1 503 "));
@@ -472,15 +473,15 @@
     const auto too_late = rig.client(Rig::job("c"));
     CHECK(rig.settle([&] { return too_late->closed; }));
     CHECK(too_late->has("HTTP/1.1 503 "));
-    CHECK(rig.host.counters().taken_in == 2);
-    CHECK(rig.host.tallies()[0].refused == 1); // though it never came to the host
+    CHECK(rig.host.counters().admitted == 2);
+    CHECK(rig.host.class_totals()[0].refused == 1); // though it never came to the host
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
     CHECK(rig.settle([&] { return busy->closed; }));
     CHECK(busy->has("Connection: close\r\n"));
     CHECK(busy->has("of a"));
-    CHECK(rig.host.tallies()[0].served == 1);
+    CHECK(rig.host.class_totals()[0].served == 1);
     CHECK(rig.pool.counters().written == 2);
-    rig.front.lame_duck(false);
+    rig.front.set_lame_duck(false);
     const auto back = rig.client(check);
     CHECK(rig.settle([&] { return back->has("HTTP/1.1 200 "); }));
     rig.wait(600ms);
@@ -495,20 +496,20 @@
             [&] { return rig.discovery.peers.size() > call && rig.discovery.peers[call]->has(text); });
     };
     REQUIRE(asked("GET /v1/endpoints?from=41&hold_ms=")); // the module has asked for it
-    rig.discovery.peers[0]->connection.write(net::http::write_answer(200, {}, rig.list_text(43)));
+    rig.discovery.peers[0]->connection.write(net::http::write_response(200, {}, rig.list_text(43)));
     REQUIRE(asked("from=43&hold_ms=")); // on the same connection, at once
-    rig.discovery.peers[0]->connection.write(net::http::write_answer(200, {}, "{\"version\":44}"));
-    CHECK(rig.settle([&] { return rig.host.counters().lists_broken == 1; }));
+    rig.discovery.peers[0]->connection.write(net::http::write_response(200, {}, "{\"version\":44}"));
+    CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 1; }));
     CHECK(rig.list.version() == 43);
     CHECK(rig.list.condition(0) == willowrill::Condition::ready);
     call = 1; // after a pause, the module asks anew
     REQUIRE(asked("from=43&hold_ms="));
-    rig.discovery.peers[1]->connection.write(net::http::write_answer(503, {}, ""));
-    CHECK(rig.settle([&] { return rig.host.counters().lists_broken == 2; }));
+    rig.discovery.peers[1]->connection.write(net::http::write_response(503, {}, ""));
+    CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 2; }));
     call = 2;
     REQUIRE(asked("from=43&hold_ms="));
     rig.discovery.peers[2]->connection.close();
-    CHECK(rig.settle([&] { return rig.host.counters().lists_broken == 3; }));
+    CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 3; }));
 }
 
 TEST_CASE("discovery moves: the whole list is taken at the new address, and nothing counts as failed") {
@@ -522,11 +523,11 @@
     CHECK(rig.list.condition(0) == willowrill::Condition::ready); // the list held stays in use
     REQUIRE(asked(moved, 0, "GET /v1/endpoints HTTP/1.1"));
     CHECK(rig.settle([&] { return rig.discovery.peers[0]->closed; }));
-    CHECK(rig.host.counters().lists_broken == 0);
-    moved.peers[0]->connection.write(net::http::write_answer(503, {}, ""));
-    CHECK(rig.settle([&] { return rig.host.counters().lists_broken == 1; }));
+    CHECK(rig.host.counters().failed_list_updates == 0);
+    moved.peers[0]->connection.write(net::http::write_response(503, {}, ""));
+    CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 1; }));
     REQUIRE(asked(moved, 1, "GET /v1/endpoints HTTP/1.1")); // still the whole list
-    moved.peers[1]->connection.write(net::http::write_answer(200, {}, rig.list_text(7)));
+    moved.peers[1]->connection.write(net::http::write_response(200, {}, rig.list_text(7)));
     REQUIRE(asked(moved, 1, "from=7&hold_ms=")); // and the watch goes on there
     CHECK(rig.list.version() == 7);
     CHECK(rig.discovery.peers.size() == 1);
--- a/tests/scheduler/support/rig.h
+++ b/tests/scheduler/support/rig.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "scheduler/discovery_client/watch.h"
-#include "scheduler/frontend/front.h"
+#include "scheduler/frontend/frontend.h"
 #include "scheduler/upstream/pool.h"
 #include "support/sockets.h"
 
@@ -23,16 +23,17 @@
           pool(loop, list, settings.report_fields,
                {.connections = most_attempts, .idle = 5s, .connect_timeout = settings.connect_timeout}),
           watch(loop, discovery.address, discovery_client::watch_times(10s, 1s), 1, list,
-                [this](auto news) { host.list_news(std::move(news)); }),
+                [this](auto news) { host.handle_worker_list(std::move(news)); }),
           host(settings.decisions, settings.max_open, 1U << 20U, pool, watch),
           front(loop, settings, host, most_clients, [] { return true; }) {
         pool.set_host(host);
-        front.accept(true);
+        front.set_accepting(true);
         auto news = list.read(list_text(41));
         news->kind = willowrill::EndpointListUpdate::Kind::remembered;
-        host.list_news(std::move(*news));
-        loop.at_round_end([this] {
-            if (const auto next = host.next_batch(); next && *next <= loop.now()) host.batch(loop.now());
+        host.handle_worker_list(std::move(*news));
+        loop.set_iteration_end_hook([this] {
+            if (const auto next = host.next_batch_time(); next && *next <= loop.now())
+                host.run_batch(loop.now());
         });
     }
 
@@ -51,7 +52,7 @@
                more + "Content-Length: 2\r\n\r\nhi";
     }
     static std::string done(const std::string& id, const std::string& result) {
-        return net::http::write_answer(
+        return net::http::write_response(
             200, {}, R"({"id":")" + id + R"(","state":"done","result":")" + result + "\"}\n");
     }
     template <class Done> bool settle(Done done) { return testing::settle(loop, done); }
@@ -70,7 +71,7 @@
     upstream::Pool pool;
     discovery_client::Watch watch;
     core::Host host;
-    frontend::Front front;
+    frontend::Frontend front;
 };
 
 // An address at which connections never come up: its queue is full and nobody takes from it.
--- a/tests/scheduler/support/sockets.h
+++ b/tests/scheduler/support/sockets.h
@@ -47,7 +47,7 @@
           address(net::local_address(fd_)) {
         loop_.watch(fd_.get(), POLLIN, *this);
     }
-    ~Listener() override { loop_.forget(fd_.get()); }
+    ~Listener() override { loop_.unwatch(fd_.get()); }
     void on_ready(short) override {
         net::Fd fd = net::accept_from(fd_);
         if (fd.valid())
