--- a/src/scheduler/net/clock.h
+++ b/src/scheduler/net/clock.h
@@ -1,6 +1,6 @@
-// Time as the whole program sees it: nanoseconds since the Unix epoch, read once at start and from then on
-// advanced by the monotonic clock. Times that other machines give as Unix time (`started_ms`) compare with it
-// as they are, and it never goes back when the wall clock is set.
+// The program's clock: nanoseconds since the Unix epoch. The system clock is read once at start; from then on
+// the monotonic clock advances the time, so that it never goes back when the system clock is set. Unix times
+// from other machines (`started_ms`) can be compared with it directly.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 class Clock {
   public:
     Time now() const { return offset_ + std::chrono::steady_clock::now().time_since_epoch(); }
-    // From now on the clock runs this much ahead of where it was, as after a pause of the process.
+    // Moves the clock forward by `ahead`, as a pause of the process does. For tests.
     void jump(Duration ahead) { offset_ += ahead; }
 
   private:
--- a/src/scheduler/net/connection.cpp
+++ b/src/scheduler/net/connection.cpp
@@ -10,30 +10,30 @@
 
 namespace {
 
-constexpr int reads_a_round = 16;
+constexpr int max_reads_per_event = 16; // bounds the time that one connection takes in an iteration
 
 } // namespace
 
 Connection::Connection(Loop& loop, Owner& owner, Fd fd, State state, std::size_t input_limit)
     : loop_(loop), owner_(owner), fd_(std::move(fd)), state_(state), input_limit_(input_limit) {
-    update();
+    update_poll_events();
 }
 
 void Connection::consume(std::size_t count) {
     input_.erase(0, count);
-    if (input_.empty() && input_.capacity() > 4096) input_ = {}; // idle connections hold no memory
-    update();
+    if (input_.empty() && input_.capacity() > 4096) input_ = {}; // release the memory of idle connections
+    update_poll_events();
 }
 
 void Connection::write(std::string bytes) {
-    if (state_ == State::closed || broken_) return;
+    if (state_ == State::closed || write_failed_) return;
     if (output_.empty()) {
         output_ = std::move(bytes);
     } else {
         output_ += bytes;
     }
     if (state_ == State::open) flush();
-    update();
+    update_poll_events();
 }
 
 void Connection::close() {
@@ -45,60 +45,61 @@
 
 void Connection::close_when_sent() {
     if (state_ != State::open) return close();
-    leaving_ = true;
+    closing_when_sent_ = true;
     input_ = {};
     if (output_.empty()) end_output();
-    update();
+    update_poll_events();
 }
 
 void Connection::end_output() { ::shutdown(fd_.get(), SHUT_WR); }
 
-// The owner is told of a broken write by the next poll and not from within its own call of `write`.
+// Does not report a failed write: the owner must not get `on_closed` from within its own call of `write`. The
+// next poll reports it.
 void Connection::flush() {
-    while (written_ < output_.size()) {
-        const auto sent =
-            ::send(fd_.get(), output_.data() + written_, output_.size() - written_, MSG_NOSIGNAL);
-        if (sent < 0 && errno == EINTR) continue;
-        if (sent < 0) {
-            broken_ = errno != EAGAIN && errno != EWOULDBLOCK;
+    while (written_bytes_ < output_.size()) {
+        const auto sent_bytes =
+            ::send(fd_.get(), output_.data() + written_bytes_, output_.size() - written_bytes_, MSG_NOSIGNAL);
+        if (sent_bytes < 0 && errno == EINTR) continue;
+        if (sent_bytes < 0) {
+            write_failed_ = errno != EAGAIN && errno != EWOULDBLOCK;
             return;
         }
-        written_ += static_cast<std::size_t>(sent);
+        written_bytes_ += static_cast<std::size_t>(sent_bytes);
     }
     output_ = {};
-    written_ = 0;
+    written_bytes_ = 0;
 }
 
-bool Connection::fill() {
+bool Connection::read_available() {
     std::array<char, 16384> bytes; // NOLINT: filled by recv
-    // What is dropped does not fill the buffer: without the bound, one that sends at full speed after its
-    // answer would hold the round for as long as it likes.
-    for (int reads = 0; reads < reads_a_round && input_.size() < input_limit_; ++reads) {
-        const auto got =
+    // Input that is discarded never fills the buffer, so the number of reads needs a bound of its own:
+    // without it, a peer that sends at full speed after its response could block the event loop.
+    for (int reads = 0; reads < max_reads_per_event && input_.size() < input_limit_; ++reads) {
+        const auto received =
             ::recv(fd_.get(), bytes.data(), std::min(bytes.size(), input_limit_ - input_.size()), 0);
-        if (got < 0 && errno == EINTR) continue;
-        if (got < 0) return errno == EAGAIN || errno == EWOULDBLOCK;
-        if (got == 0) return false;
-        if (!leaving_) input_.append(bytes.data(), static_cast<std::size_t>(got));
-        if (static_cast<std::size_t>(got) < bytes.size()) return true;
+        if (received < 0 && errno == EINTR) continue;
+        if (received < 0) return errno == EAGAIN || errno == EWOULDBLOCK;
+        if (received == 0) return false;
+        if (!closing_when_sent_) input_.append(bytes.data(), static_cast<std::size_t>(received));
+        if (static_cast<std::size_t>(received) < bytes.size()) return true;
     }
     return true;
 }
 
-void Connection::update() {
+void Connection::update_poll_events() {
     if (state_ == State::closed) return;
     short events = 0;
     if (state_ == State::opening) {
         events = POLLOUT;
     } else {
-        // What the owner leaves unread must not hide that the other side has ended.
+        // With a full input buffer, still notice that the peer has closed.
         events |= input_.size() < input_limit_ ? POLLIN : POLLRDHUP;
-        if (!output_.empty() && !broken_) events |= POLLOUT;
+        if (!output_.empty() && !write_failed_) events |= POLLOUT;
     }
     loop_.watch(fd_.get(), events, *this);
 }
 
-void Connection::lost() {
+void Connection::close_and_notify() {
     close();
     owner_.on_closed();
 }
@@ -109,33 +110,33 @@
         int error = 0;
         socklen_t size = sizeof error;
         ::getsockopt(fd_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-        if (error != 0 || (events & POLLOUT) == 0) return lost();
+        if (error != 0 || (events & POLLOUT) == 0) return close_and_notify();
         state_ = State::open;
-        const bool waiting = !output_.empty();
+        const bool had_pending_output = !output_.empty();
         flush();
-        update();
+        update_poll_events();
         owner_.on_open();
-        if (waiting && state_ == State::open && output_.empty()) owner_.on_sent();
+        if (had_pending_output && state_ == State::open && output_.empty()) owner_.on_sent();
         return;
     }
     if ((events & POLLOUT) != 0 && !output_.empty()) {
         flush();
         if (output_.empty()) {
-            leaving_ ? end_output() : owner_.on_sent();
+            closing_when_sent_ ? end_output() : owner_.on_sent();
         }
         if (state_ != State::open) return;
     }
     if ((events & (POLLIN | POLLRDHUP | POLLHUP | POLLERR)) != 0) {
-        const std::size_t before = input_.size();
-        const bool more = fill();
-        if (input_.size() > before) owner_.on_input();
+        const std::size_t previous_size = input_.size();
+        const bool input_open = read_available();
+        if (input_.size() > previous_size) owner_.on_input();
         if (state_ != State::open) return;
-        // With the buffer full, a hang-up is all there is to learn; without this, poll would spin on it.
-        if (!more || (broken_ && input_.size() == before) ||
+        // With a full buffer nothing can be read, and poll would report the same hang-up again and again.
+        if (!input_open || (write_failed_ && input_.size() == previous_size) ||
             ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0 && input_.size() >= input_limit_))
-            return lost();
+            return close_and_notify();
     }
-    update();
+    update_poll_events();
 }
 
 } // namespace willowrill::net
--- a/src/scheduler/net/file.h
+++ b/src/scheduler/net/file.h
@@ -1,5 +1,4 @@
-// A small file, read whole or not at all: a configuration, never a device, a pipe or a folder, which could
-// hold the loop for good or fill the memory.
+// Reads small regular files such as the configuration.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +7,9 @@
 
 namespace willowrill::net {
 
-// Nothing: `why` says in a few words what was wrong.
-std::optional<std::string> read_file(const std::string& path, std::size_t max_bytes, std::string& why);
+// Returns the whole content of a regular file that holds 1 to `max_bytes` bytes. Otherwise returns nothing,
+// and `error` holds a message that continues a sentence about the path. Devices, pipes and directories are
+// refused, as reading them could block the event loop forever or exhaust memory.
+std::optional<std::string> read_file(const std::string& path, std::size_t max_bytes, std::string& error);
 
 } // namespace willowrill::net
--- a/src/scheduler/net/http.cpp
+++ b/src/scheduler/net/http.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 bool is_token(std::string_view text) {
-    constexpr std::string_view marks = "!#$%&'*+-.^_`|~";
+    constexpr std::string_view token_symbols = "!#$%&'*+-.^_`|~";
     return !text.empty() && std::ranges::all_of(text, [&](char c) {
         return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-               marks.find(c) != std::string_view::npos;
+               token_symbols.find(c) != std::string_view::npos;
     });
 }
 
-bool is_visible(char c) { return c > ' ' && c < 0x7f; } // in ASCII
+bool is_visible(char c) { return c > ' ' && c < 0x7f; } // ASCII
 
 bool is_control(char c) { return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f; }
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
     std::string out(text);
     std::ranges::transform(out, out.begin(), [](char c) { return c >= 'A' && c <= 'Z' ? char(c + 32) : c; });
     return out;
@@ -30,7 +30,7 @@
     return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
     switch (status) {
     case 100:
         return "Continue";
@@ -76,8 +76,8 @@
 std::optional<std::uint64_t> parse_unsigned(std::string_view text, int base) {
     std::uint64_t value = 0;
     const char* end = text.data() + text.size();
-    const auto [stop, error] = std::from_chars(text.data(), end, value, base);
-    if (text.empty() || error != std::errc{} || stop != end) return std::nullopt;
+    const auto [parsed_end, error] = std::from_chars(text.data(), end, value, base);
+    if (text.empty() || error != std::errc{} || parsed_end != end) return std::nullopt;
     return value;
 }
 
@@ -90,11 +90,11 @@
 bool Head::has_token(std::string_view name, std::string_view token) const {
     for (const auto& [field, value] : fields) {
         if (field != name) continue;
-        std::string_view rest = value;
-        while (!rest.empty()) {
-            const std::size_t comma = rest.find(',');
-            if (lower(trim(rest.substr(0, comma))) == token) return true;
-            rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
+        std::string_view remaining = value;
+        while (!remaining.empty()) {
+            const std::size_t comma = remaining.find(',');
+            if (to_lower(trim(remaining.substr(0, comma))) == token) return true;
+            remaining = comma == std::string_view::npos ? std::string_view{} : remaining.substr(comma + 1);
         }
     }
     return false;
@@ -110,8 +110,8 @@
     head_ = {};
     line_ = {};
     body_ = {};
-    head_size_ = 0;
-    left_ = 0;
+    head_bytes_ = 0;
+    remaining_bytes_ = 0;
 }
 
 void Parser::fail(int status) {
@@ -120,7 +120,7 @@
 }
 
 std::size_t Parser::feed(std::string_view bytes) {
-    const std::size_t given = bytes.size();
+    const std::size_t offered_bytes = bytes.size();
     while (!bytes.empty() && !done() && !bad()) {
         if (state_ == State::body || state_ == State::chunk || state_ == State::until_close) {
             add_body(bytes);
@@ -129,16 +129,16 @@
             line_.clear();
         }
     }
-    return given - bytes.size();
+    return offered_bytes - bytes.size();
 }
 
-// A line without its end, once it is there. The limit is on all lines of the head together, so that neither
-// one long line nor many short ones take memory.
+// Returns the next line without its line break once it is complete. `max_head_bytes` limits all lines of the
+// head together, so that neither one long line nor many short ones use unbounded memory.
 std::optional<std::string_view> Parser::take_line(std::string_view& bytes) {
     const std::size_t end = bytes.find('\n');
     const std::size_t count = end == std::string_view::npos ? bytes.size() : end + 1;
-    head_size_ += count;
-    if (head_size_ > max_head_bytes) {
+    head_bytes_ += count;
+    if (head_bytes_ > max_head_bytes) {
         fail(431);
         return std::nullopt;
     }
@@ -154,7 +154,7 @@
 void Parser::on_line(std::string_view line) {
     switch (state_) {
     case State::start:
-        if (!line.empty()) on_start(line); // an empty line before a message is skipped
+        if (!line.empty()) on_start(line); // empty lines before a message are ignored
         break;
     case State::fields:
         line.empty() ? on_head_end() : on_field(line);
@@ -165,7 +165,7 @@
     case State::chunk_end:
         if (!line.empty()) return fail(400);
         state_ = State::chunk_size;
-        head_size_ = 0;
+        head_bytes_ = 0;
         break;
     case State::trailers:
         if (line.empty()) state_ = State::done;
@@ -200,23 +200,25 @@
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return fail(400);
     const std::string_view value = trim(line.substr(colon + 1));
-    // Such bytes could begin another field where the value is passed on.
+    // A control character could start another field when the value is forwarded.
     if (std::ranges::any_of(value, is_control)) return fail(400);
-    head_.fields.emplace_back(lower(line.substr(0, colon)), value);
+    head_.fields.emplace_back(to_lower(line.substr(0, colon)), value);
 }
 
-// The length must be beyond doubt: two readings of it would let one message hide in another.
+// Rejects ambiguous lengths: if two parties read the length differently, a message can be smuggled inside
+// another.
 void Parser::on_head_end() {
-    if (kind_ == Kind::response && head_.status < 200) return restart(); // interim; the answer follows
+    if (kind_ == Kind::response && head_.status < 200)
+        return restart(); // interim response; the final one follows
     const auto count = [&](std::string_view name) {
         return std::ranges::count(head_.fields, name,
                                   [](const auto& field) { return std::string_view(field.first); });
     };
     const std::string* length = head_.find("content-length");
-    head_size_ = 0;
+    head_bytes_ = 0;
     if (const std::string* coding = head_.find("transfer-encoding")) {
         if (length != nullptr || count("transfer-encoding") > 1) return fail(400);
-        if (lower(*coding) != "chunked") return fail(kind_ == Kind::request ? 501 : 400);
+        if (to_lower(*coding) != "chunked") return fail(kind_ == Kind::request ? 501 : 400);
         state_ = State::chunk_size;
         return;
     }
@@ -224,31 +226,31 @@
         const auto size = parse_unsigned(*length);
         if (!size || count("content-length") > 1) return fail(400);
         if (*size > max_body_bytes) return fail(413);
-        left_ = *size;
-        state_ = left_ > 0 ? State::body : State::done;
+        remaining_bytes_ = *size;
+        state_ = remaining_bytes_ > 0 ? State::body : State::done;
         return;
     }
-    const bool bodiless = kind_ == Kind::request || head_.status == 204 || head_.status == 304;
-    state_ = bodiless ? State::done : State::until_close;
+    const bool has_no_body = kind_ == Kind::request || head_.status == 204 || head_.status == 304;
+    state_ = has_no_body ? State::done : State::until_close;
 }
 
 void Parser::on_chunk_size(std::string_view line) {
     const auto size = parse_unsigned(trim(line.substr(0, line.find(';'))), 16);
     if (!size) return fail(400);
     if (*size > max_body_bytes) return fail(413);
-    left_ = *size;
-    state_ = left_ > 0 ? State::chunk : State::trailers;
+    remaining_bytes_ = *size;
+    state_ = remaining_bytes_ > 0 ? State::chunk : State::trailers;
 }
 
 void Parser::add_body(std::string_view& bytes) {
     const std::size_t count =
-        state_ == State::until_close ? bytes.size() : std::min<std::size_t>(left_, bytes.size());
+        state_ == State::until_close ? bytes.size() : std::min<std::size_t>(remaining_bytes_, bytes.size());
     if (body_.size() + count > max_body_bytes) return fail(413);
     body_.append(bytes.substr(0, count));
     bytes.remove_prefix(count);
     if (state_ == State::until_close) return;
-    left_ -= count;
-    if (left_ == 0) state_ = state_ == State::body ? State::done : State::chunk_end;
+    remaining_bytes_ -= count;
+    if (remaining_bytes_ == 0) state_ = state_ == State::body ? State::done : State::chunk_end;
 }
 
 void Parser::end_of_input() {
@@ -273,7 +275,11 @@
 std::string write_response(int status, const Fields& fields, std::string_view body) {
     std::string out;
     out.reserve(256 + body.size());
-    out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n");
+    out.append("HTTP/1.1 ")
+        .append(std::to_string(status))
+        .append(" ")
+        .append(reason_phrase(status))
+        .append("\r\n");
     write_fields(out, fields);
     if (status >= 200) out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
     out.append("\r\n").append(body);
--- a/src/scheduler/net/http.h
+++ b/src/scheduler/net/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 as far as the program needs it: an incremental parser of requests and answers. No sockets here.
+// The subset of HTTP/1.1 that the program needs: an incremental parser of requests and responses, and
+// functions that write them. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +13,25 @@
 
 inline constexpr std::size_t max_body_bytes = std::size_t{64} * 1024;
 inline constexpr std::size_t max_head_bytes = std::size_t{16} * 1024;
-// What a connection reads ahead of the parser, which takes all that is there.
+// Input limit of a `Connection` that carries HTTP. It needs to hold no whole message, as the parser consumes
+// partial ones.
 inline constexpr std::size_t input_buffer_bytes = std::size_t{16} * 1024;
 
+// Start line and header fields of a message.
 struct Head {
-    std::string method, target;                              // of a request
-    int status = 0;                                          // of an answer
+    std::string method, target;                              // requests only
+    int status = 0;                                          // responses only
     int minor = 1;                                           // HTTP/1.minor
     std::vector<std::pair<std::string, std::string>> fields; // names in lower case
 
-    const std::string* find(std::string_view name) const; // the first of that name, which is in lower case
-    bool has_token(std::string_view name, std::string_view token) const; // in a list such as Connection's
+    // The value of the first field with this name, which must be in lower case; null if there is none.
+    const std::string* find(std::string_view name) const;
+    // Whether a comma-separated field such as Connection contains `token`. Both must be in lower case.
+    bool has_token(std::string_view name, std::string_view token) const;
     bool keeps_alive() const;
 };
 
-// Takes in one message piece by piece. After `done`, `restart` makes it ready for the next.
+// Parses one message at a time from pieces of any size. After `done`, `restart` prepares it for the next one.
 class Parser {
   public:
     enum class Kind { request, response };
@@ -34,18 +39,20 @@
 
     explicit Parser(Kind kind) : kind_(kind) {}
 
-    std::size_t feed(std::string_view bytes); // how many were used; stops behind the end of the message
-    void end_of_input();                      // an answer without a length ends here, any other is bad
+    // Returns how many bytes were consumed: fewer than given only at the end of the message or on an error.
+    std::size_t feed(std::string_view bytes);
+    void end_of_input(); // completes a response without a length; an error for any other incomplete message
     void restart();
 
     State state() const { return state_; }
     bool done() const { return state_ == State::done; }
     bool bad() const { return state_ == State::bad; }
+    // Whether any byte of the current message has been consumed.
     bool begun() const { return state_ != State::start || !line_.empty(); }
     bool head_done() const { return state_ > State::fields && !bad(); }
-    int error() const { return error_; } // when bad: the status that tells a client so
+    int error() const { return error_; } // HTTP status that reports the error; valid when `bad`
     const Head& head() const { return head_; }
-    std::string& body() { return body_; } // may be emptied on the way; the limit is on what it holds
+    std::string& body() { return body_; } // the caller may consume it; `max_body_bytes` limits its size
 
   private:
     std::optional<std::string_view> take_line(std::string_view& bytes);
@@ -62,17 +69,17 @@
     int error_ = 0;
     Head head_;
     std::string line_, body_;
-    std::size_t head_size_ = 0;
-    std::uint64_t left_ = 0; // of the body or the chunk
+    std::size_t head_bytes_ = 0;
+    std::uint64_t remaining_bytes_ = 0; // of the body or the current chunk
 };
 
-// A request or an answer with its body; `Content-Length` is added.
+// Serialize a message with its body and add `Content-Length`, except to an empty GET or an interim response.
 using Fields = std::vector<std::pair<std::string_view, std::string>>;
 std::string write_request(std::string_view method, std::string_view target, const Fields& fields,
                           std::string_view body);
 std::string write_response(int status, const Fields& fields, std::string_view body);
 
-// Whole numbers without sign, blanks or other decoration.
+// Parses an unsigned integer. Signs, spaces, prefixes, trailing characters and overflow are errors.
 std::optional<std::uint64_t> parse_unsigned(std::string_view text, int base = 10);
 
 } // namespace willowrill::net::http
--- a/src/scheduler/net/loop.cpp
+++ b/src/scheduler/net/loop.cpp
@@ -7,57 +7,58 @@
 namespace willowrill::net {
 
 void Loop::watch(int fd, short events, Pollable& pollable) {
-    const auto at = static_cast<std::size_t>(fd);
-    if (position_.size() <= at) position_.resize(at + 1, 0);
-    if (position_[at] == 0) {
-        polled_.push_back({.fd = fd, .events = events, .revents = 0});
+    const auto fd_index = static_cast<std::size_t>(fd);
+    if (entry_by_fd_.size() <= fd_index) entry_by_fd_.resize(fd_index + 1, 0);
+    if (entry_by_fd_[fd_index] == 0) {
+        poll_entries_.push_back({.fd = fd, .events = events, .revents = 0});
         pollables_.push_back(&pollable);
-        position_[at] = polled_.size();
+        entry_by_fd_[fd_index] = poll_entries_.size();
     } else {
-        polled_[position_[at] - 1].events = events;
-        pollables_[position_[at] - 1] = &pollable;
+        poll_entries_[entry_by_fd_[fd_index] - 1].events = events;
+        pollables_[entry_by_fd_[fd_index] - 1] = &pollable;
     }
 }
 
 void Loop::unwatch(int fd) {
-    const auto at = static_cast<std::size_t>(fd);
-    if (at >= position_.size() || position_[at] == 0) return;
-    const std::size_t position = std::exchange(position_[at], 0) - 1;
-    // The place stays empty to the end of the round: the same number may come back as another descriptor.
-    polled_[position].fd = -1;
-    pollables_[position] = nullptr;
-    holes_ = true;
+    const auto fd_index = static_cast<std::size_t>(fd);
+    if (fd_index >= entry_by_fd_.size() || entry_by_fd_[fd_index] == 0) return;
+    const std::size_t entry_index = std::exchange(entry_by_fd_[fd_index], 0) - 1;
+    // The entry stays, disabled, until the end of the iteration: entries must not move while `run_once` walks
+    // them, and the same number may be reused for another descriptor.
+    poll_entries_[entry_index].fd = -1;
+    pollables_[entry_index] = nullptr;
+    has_removed_entries_ = true;
 }
 
-void Loop::run_once(Duration at_most) {
+void Loop::run_once(Duration max_wait) {
     using std::chrono::milliseconds;
-    Duration wait = at_most;
-    if (const auto next = wheel_.next()) wait = std::min(wait, *next - clock_.now());
+    Duration wait = max_wait;
+    if (const auto next = timer_wheel_.next_wakeup()) wait = std::min(wait, *next - clock_.now());
     const auto wait_ms = std::chrono::ceil<milliseconds>(std::max(wait, Duration(0)));
-    const int ready = ::poll(polled_.data(), polled_.size(), static_cast<int>(wait_ms.count()));
+    const int ready = ::poll(poll_entries_.data(), poll_entries_.size(), static_cast<int>(wait_ms.count()));
     if (ready < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "poll");
-    const bool waited = ready == 0 && wait_ms.count() > 0;
-    rounds_since_wait_ = waited ? 0 : rounds_since_wait_ + 1;
+    const bool was_idle = ready == 0 && wait_ms.count() > 0;
+    iterations_since_idle_ = was_idle ? 0 : iterations_since_idle_ + 1;
     now_ = clock_.now();
     const std::size_t count =
-        ready > 0 ? polled_.size() : 0; // what is added in this round waits for the next
+        ready > 0 ? poll_entries_.size() : 0; // entries that this iteration adds wait for the next
     for (std::size_t i = 0; i < count; ++i) {
-        const short events = std::exchange(polled_[i].revents, short{0});
+        const short events = std::exchange(poll_entries_[i].revents, short{0});
         if (events != 0 && pollables_[i] != nullptr) pollables_[i]->on_ready(events);
     }
-    wheel_.advance(now_);
-    if (round_end_) round_end_();
-    buried_.clear();
-    if (!std::exchange(holes_, false)) return;
+    timer_wheel_.advance(now_);
+    if (iteration_end_hook_) iteration_end_hook_();
+    pending_destruction_.clear();
+    if (!std::exchange(has_removed_entries_, false)) return;
     std::size_t kept = 0;
-    for (std::size_t i = 0; i < polled_.size(); ++i) {
+    for (std::size_t i = 0; i < poll_entries_.size(); ++i) {
         if (pollables_[i] == nullptr) continue;
-        polled_[kept] = polled_[i];
+        poll_entries_[kept] = poll_entries_[i];
         pollables_[kept] = pollables_[i];
         ++kept;
-        position_[static_cast<std::size_t>(polled_[i].fd)] = kept;
+        entry_by_fd_[static_cast<std::size_t>(poll_entries_[i].fd)] = kept;
     }
-    polled_.resize(kept);
+    poll_entries_.resize(kept);
     pollables_.resize(kept);
 }
 
--- a/src/scheduler/net/signals.cpp
+++ b/src/scheduler/net/signals.cpp
@@ -12,59 +12,60 @@
 namespace willowrill::net {
 namespace {
 
-// All that a handler may touch; it lives as long as the process. The pipe only wakes the loop: were the
-// signals in it, a flood of one kind would fill it and the next SIGTERM would be lost.
-int pipe_end = -1;
+// State that the handler accesses; it exists for the life of the process. The pipe only wakes the loop and
+// does not carry the signal numbers: a flood of one signal would fill it, and the next SIGTERM would be lost.
+int wakeup_write_fd = -1;
 std::array<volatile std::sig_atomic_t, NSIG> pending{};
 
 void on_signal(int signal) {
-    const int saved = errno;
+    const int saved_errno = errno;
     pending[static_cast<std::size_t>(signal)] = 1;
-    [[maybe_unused]] const auto written = ::write(pipe_end, "", 1);
-    errno = saved;
+    [[maybe_unused]] const auto written = ::write(wakeup_write_fd, "", 1);
+    errno = saved_errno;
 }
 
 } // namespace
 
 ScopedSignalBlock::ScopedSignalBlock(std::initializer_list<int> signals) {
-    sigset_t held{};
-    ::sigemptyset(&held);
+    sigset_t blocked{};
+    ::sigemptyset(&blocked);
     for (const int signal : signals) {
-        ::sigaddset(&held, signal);
+        ::sigaddset(&blocked, signal);
     }
-    ::sigprocmask(SIG_BLOCK, &held, &before_);
+    ::sigprocmask(SIG_BLOCK, &blocked, &previous_mask_);
 }
 
-ScopedSignalBlock::~ScopedSignalBlock() { ::sigprocmask(SIG_SETMASK, &before_, nullptr); }
+ScopedSignalBlock::~ScopedSignalBlock() { ::sigprocmask(SIG_SETMASK, &previous_mask_, nullptr); }
 
-SignalHandler::SignalHandler(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action)
-    : loop_(loop), action_(std::move(action)) {
-    std::array<int, 2> ends{};
-    if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0)
+SignalHandler::SignalHandler(Loop& loop, std::initializer_list<int> signals,
+                             std::function<void(int)> callback)
+    : loop_(loop), callback_(std::move(callback)) {
+    std::array<int, 2> pipe_fds{};
+    if (::pipe2(pipe_fds.data(), O_NONBLOCK | O_CLOEXEC) != 0)
         throw std::system_error(errno, std::generic_category(), "pipe2");
-    read_ = Fd(ends[0]);
-    pipe_end = ends[1];
-    struct sigaction handling {};
-    handling.sa_handler = on_signal;
-    handling.sa_flags = SA_RESTART;
+    wakeup_read_fd_ = Fd(pipe_fds[0]);
+    wakeup_write_fd = pipe_fds[1];
+    struct sigaction disposition {};
+    disposition.sa_handler = on_signal;
+    disposition.sa_flags = SA_RESTART;
     for (const int signal : signals) {
-        ::sigaction(signal, &handling, nullptr);
+        ::sigaction(signal, &disposition, nullptr);
     }
-    handling.sa_handler = SIG_IGN; // a write to a connection that is gone is an error, not the end
-    ::sigaction(SIGPIPE, &handling, nullptr);
-    loop_.watch(read_.get(), POLLIN, *this);
+    disposition.sa_handler = SIG_IGN; // writing to a closed connection returns an error instead
+    ::sigaction(SIGPIPE, &disposition, nullptr);
+    loop_.watch(wakeup_read_fd_.get(), POLLIN, *this);
 }
 
-SignalHandler::~SignalHandler() { loop_.unwatch(read_.get()); }
+SignalHandler::~SignalHandler() { loop_.unwatch(wakeup_read_fd_.get()); }
 
 void SignalHandler::on_ready(short) {
-    std::array<char, 512> woken{};
-    while (::read(read_.get(), woken.data(), woken.size()) > 0) {
+    std::array<char, 512> discarded{};
+    while (::read(wakeup_read_fd_.get(), discarded.data(), discarded.size()) > 0) {
     }
     for (std::size_t signal = 0; signal < pending.size(); ++signal) {
         if (pending[signal] == 0) continue;
-        pending[signal] = 0; // first: one that comes now is told again
-        action_(static_cast<int>(signal));
+        pending[signal] = 0; // before the callback: a signal that arrives meanwhile is reported again
+        callback_(static_cast<int>(signal));
     }
 }
 
--- a/src/scheduler/net/signals.h
+++ b/src/scheduler/net/signals.h
@@ -1,4 +1,4 @@
-// Signals, told as events of the loop: one of a kind at a time, as the system does.
+// Delivery of POSIX signals as events of the loop.
 #pragma once
 
 #include "scheduler/net/loop.h"
@@ -10,8 +10,8 @@
 
 namespace willowrill::net {
 
-// While one stands, signals of these kinds wait until there is someone to tell: taken before, SIGHUP would
-// end the program.
+// Blocks the given signals during its lifetime, so that they stay pending until a `SignalHandler` exists.
+// Without it, an early SIGHUP would end the program.
 class ScopedSignalBlock {
   public:
     ScopedSignalBlock(std::initializer_list<int> signals);
@@ -20,21 +20,22 @@
     ScopedSignalBlock& operator=(const ScopedSignalBlock&) = delete;
 
   private:
-    sigset_t before_{};
+    sigset_t previous_mask_{};
 };
 
-// One at a time in a process.
+// Calls `callback` from the loop for each given signal, and ignores SIGPIPE. Signals of one kind that arrive
+// before the loop handles them are reported once. At most one instance may exist at a time.
 class SignalHandler final : private Pollable {
   public:
-    SignalHandler(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> action);
+    SignalHandler(Loop& loop, std::initializer_list<int> signals, std::function<void(int)> callback);
     ~SignalHandler() override;
 
   private:
     void on_ready(short events) override;
 
     Loop& loop_;
-    std::function<void(int)> action_;
-    Fd read_;
+    std::function<void(int)> callback_;
+    Fd wakeup_read_fd_;
 };
 
 } // namespace willowrill::net
--- a/src/scheduler/net/socket.h
+++ b/src/scheduler/net/socket.h
@@ -1,4 +1,4 @@
-// Descriptors that close themselves, and the few calls that make sockets.
+// Owning file descriptors, IPv4 endpoints and socket creation. All sockets are non-blocking.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,6 +11,7 @@
 
 namespace willowrill::net {
 
+// Owns a file descriptor and closes it on destruction.
 class Fd {
   public:
     Fd() = default;
@@ -32,10 +33,11 @@
     int fd_ = -1;
 };
 
+// An IPv4 address and port.
 struct Endpoint {
     sockaddr_in address{};
 
-    // `10.0.0.4:5000`; there is no DNS where the program runs.
+    // Accepts `10.0.0.4:5000`, but no host names: DNS is not available where the program runs.
     static std::optional<Endpoint> parse(std::string_view text);
     std::string text() const;
     bool operator==(const Endpoint& other) const {
@@ -44,12 +46,13 @@
     }
 };
 
-// Throws std::system_error. `shared`: other processes of this user may listen there too.
-Fd listen_on(const Endpoint& endpoint, bool shared = false);
-Fd accept_from(const Fd& listener);      // invalid, with errno, where there is none
-Fd connect_to(const Endpoint& endpoint); // may be under way still; invalid, with errno, if refused at once
-Fd bind_udp_socket(const Endpoint& endpoint); // UDP; invalid, with errno, where the address cannot be had
+// Throws std::system_error. With `reuse_port`, other processes of the same user may listen on the address
+// too.
+Fd listen_on(const Endpoint& endpoint, bool reuse_port = false);
+Fd accept_from(const Fd& listener);           // invalid, with errno set, if no connection is pending
+Fd connect_to(const Endpoint& endpoint);      // may still be connecting; invalid, with errno set, on error
+Fd bind_udp_socket(const Endpoint& endpoint); // invalid, with errno set, if the address is unavailable
 Endpoint local_address(const Fd& fd);
-bool has_hung_up(const Fd& fd); // the other side has closed it, or sent what nobody asked for
+bool has_hung_up(const Fd& fd); // the peer has closed it, or unread bytes are pending
 
 } // namespace willowrill::net
--- a/src/scheduler/net/timer_wheel.cpp
+++ b/src/scheduler/net/timer_wheel.cpp
@@ -4,45 +4,45 @@
 
 namespace willowrill::net {
 
-void TimerWheel::add(Timer& timer, Time at) {
-    // A timer armed while timers go off waits for the next tick at least, so that `advance` ends.
-    timer.due_ = std::max(current_ + 1, (at + tick_ - Duration(1)) / tick_);
-    timer.insert_before(slots_[static_cast<std::size_t>(timer.due_) % slots_.size()]);
+void TimerWheel::schedule(Timer& timer, Time deadline) {
+    // Never in the current tick: an action that arms a timer again must not keep `advance` from returning.
+    timer.due_tick_ = std::max(current_tick_ + 1, (deadline + tick_length_ - Duration(1)) / tick_length_);
+    timer.insert_before(slots_[static_cast<std::size_t>(timer.due_tick_) % slots_.size()]);
 }
 
 void TimerWheel::advance(Time now) {
-    const std::int64_t target = now / tick_;
-    if (target <= current_) return;
-    TimerNode due; // a ring, since an action may disarm or destroy a timer that is due with it
+    const std::int64_t now_tick = now / tick_length_;
+    if (now_tick <= current_tick_) return;
+    TimerNode due_timers; // a list, as an action may disarm or destroy another due timer
     const auto size = static_cast<std::int64_t>(slots_.size());
-    for (std::int64_t tick = std::max(current_ + 1, target - size + 1); tick <= target; ++tick) {
+    for (std::int64_t tick = std::max(current_tick_ + 1, now_tick - size + 1); tick <= now_tick; ++tick) {
         TimerNode& slot = slots_[static_cast<std::size_t>(tick) % slots_.size()];
-        for (TimerNode* link = slot.after; link != &slot;) {
-            auto& timer = static_cast<Timer&>(*link);
-            link = link->after;
-            if (timer.due_ <= target) timer.insert_before(due);
+        for (TimerNode* node = slot.next; node != &slot;) {
+            auto& timer = static_cast<Timer&>(*node);
+            node = node->next;
+            if (timer.due_tick_ <= now_tick) timer.insert_before(due_timers);
         }
     }
-    current_ = target;
-    while (!due.alone()) {
-        auto& timer = static_cast<Timer&>(*due.after);
+    current_tick_ = now_tick;
+    while (!due_timers.is_unlinked()) {
+        auto& timer = static_cast<Timer&>(*due_timers.next);
         timer.disarm();
         timer.action_();
     }
 }
 
-std::optional<Time> TimerWheel::next() const {
-    const std::int64_t end_of_turn = current_ + static_cast<std::int64_t>(slots_.size());
+std::optional<Time> TimerWheel::next_wakeup() const {
+    const std::int64_t end_of_rotation = current_tick_ + static_cast<std::int64_t>(slots_.size());
     bool armed = false;
-    for (std::int64_t tick = current_ + 1; tick <= end_of_turn; ++tick) {
+    for (std::int64_t tick = current_tick_ + 1; tick <= end_of_rotation; ++tick) {
         const TimerNode& slot = slots_[static_cast<std::size_t>(tick) % slots_.size()];
-        for (const TimerNode* link = slot.after; link != &slot; link = link->after) {
-            if (static_cast<const Timer*>(link)->due_ <= tick) return tick * tick_;
-            armed = true; // for a later turn of the wheel
+        for (const TimerNode* node = slot.next; node != &slot; node = node->next) {
+            if (static_cast<const Timer*>(node)->due_tick_ <= tick) return tick * tick_length_;
+            armed = true; // due in a later rotation
         }
     }
     if (!armed) return std::nullopt;
-    return end_of_turn * tick_;
+    return end_of_rotation * tick_length_;
 }
 
 } // namespace willowrill::net
--- a/src/scheduler/net/timer_wheel.h
+++ b/src/scheduler/net/timer_wheel.h
@@ -1,4 +1,4 @@
-// Timers in coarse ticks on a wheel. Arming and disarming cost the same however many there are.
+// A hashed timer wheel with coarse ticks. Arming and disarming a timer takes constant time.
 #pragma once
 
 #include "scheduler/net/clock.h"
@@ -13,68 +13,68 @@
 
 class TimerWheel;
 
-// A node of a ring; alone, it is a ring of its own.
+// A node of a circular doubly linked list; an unlinked node links to itself.
 struct TimerNode {
-    TimerNode* before = this;
-    TimerNode* after = this;
+    TimerNode* prev = this;
+    TimerNode* next = this;
 
     TimerNode() = default;
     ~TimerNode() { unlink(); }
     TimerNode(const TimerNode&) = delete;
     TimerNode& operator=(const TimerNode&) = delete;
 
-    bool alone() const { return after == this; }
+    bool is_unlinked() const { return next == this; }
     void unlink() {
-        before->after = after;
-        after->before = before;
-        before = after = this;
+        prev->next = next;
+        next->prev = prev;
+        prev = next = this;
     }
     void insert_before(TimerNode& other) {
         unlink();
-        before = other.before;
-        after = &other;
-        before->after = after->before = this;
+        prev = other.prev;
+        next = &other;
+        prev->next = next->prev = this;
     }
 };
 
-// Belongs to the object that waits; goes off once for each `arm`, and never after its destruction.
+// Runs its action once for each `arm`, and never after its destruction. `wheel` must outlive it.
 class Timer : private TimerNode {
   public:
     Timer(TimerWheel& wheel, std::function<void()> action) : wheel_(wheel), action_(std::move(action)) {}
 
-    void arm(Time at); // replaces an earlier time
+    void arm(Time deadline); // replaces an earlier deadline
     void disarm() { unlink(); }
-    bool armed() const { return !alone(); }
+    bool armed() const { return !is_unlinked(); }
 
   private:
     friend class TimerWheel;
     TimerWheel& wheel_;
     std::function<void()> action_;
-    std::int64_t due_ = 0; // in ticks
+    std::int64_t due_tick_ = 0;
 };
 
 class TimerWheel {
   public:
     explicit TimerWheel(Time start, Duration tick = std::chrono::milliseconds(1))
-        : tick_(tick), current_(start / tick) {}
+        : tick_length_(tick), current_tick_(start / tick) {}
 
-    // Sets off what is due. A timer goes off at the first tick that is not before its time.
+    // Fires the timers that are due: a timer fires at the first tick that is not before its deadline.
     void advance(Time now);
 
-    // When to look next: when the first timer is due, or at the end of this turn of the wheel where that is
-    // earlier; nothing while no timer is armed. Timers of later turns wake nobody before. Takes a time that
-    // grows with the slots and the timers, as poll(2) does with the descriptors.
-    std::optional<Time> next() const;
+    // When to call `advance` next: when the first timer is due or this rotation of the wheel ends, whichever
+    // is earlier; nothing if no timer is armed. Timers that are due in later rotations cause no earlier
+    // wakeup. Takes time linear in the number of slots and timers, like poll(2) in the number of descriptors.
+    std::optional<Time> next_wakeup() const;
 
   private:
     friend class Timer;
-    void add(Timer& timer, Time at);
+    void schedule(Timer& timer, Time deadline);
 
-    Duration tick_;
-    std::int64_t current_;
+    Duration tick_length_;
+    std::int64_t current_tick_;
     std::array<TimerNode, 1024> slots_;
 };
 
-inline void Timer::arm(Time at) { wheel_.add(*this, at); }
+inline void Timer::arm(Time deadline) { wheel_.schedule(*this, deadline); }
 
 } // namespace willowrill::net
--- a/tests/scheduler/net/connection_test.cpp
+++ b/tests/scheduler/net/connection_test.cpp
@@ -184,7 +184,7 @@
     a.arm(5ms);
     c.arm(7ms);
     b.arm(6ms);
-    CHECK(wheel.next() == std::optional<net::Time>(5ms));
+    CHECK(wheel.next_wakeup() == std::optional<net::Time>(5ms));
     wheel.advance(4999us);
     CHECK(log.empty());
     wheel.advance(20ms);
@@ -197,7 +197,7 @@
     CHECK(log == "abb");
     wheel.advance(10s);
     CHECK(log == "abba");
-    CHECK_FALSE(wheel.next().has_value());
+    CHECK_FALSE(wheel.next_wakeup().has_value());
 }
 
 // The handler wrote each signal into a pipe: 65,536 unread ones, and the next was lost.
--- a/tests/scheduler/net/loop_test.cpp
+++ b/tests/scheduler/net/loop_test.cpp
@@ -66,16 +66,17 @@
         timers.back().arm(start + 5s + i * 7ms);
     }
     int looks = 0;
-    for (std::optional<net::Time> next = wheel.next(); next && fired == 0; next = wheel.next()) {
+    for (std::optional<net::Time> next = wheel.next_wakeup(); next && fired == 0;
+         next = wheel.next_wakeup()) {
         wheel.advance(*next);
         ++looks;
     }
     CHECK(fired == 1);
     CHECK(looks == 5); // four turns of the wheel, and the first timer
-    CHECK(wheel.next() == start + 5s + 7ms);
+    CHECK(wheel.next_wakeup() == start + 5s + 7ms);
     for (net::Timer& timer : timers)
         timer.disarm();
-    CHECK_FALSE(wheel.next().has_value());
+    CHECK_FALSE(wheel.next_wakeup().has_value());
 }
 
 TEST_CASE("loop: a timer that is armed anew for a time long past lets the loop wait in between") {
