--- a/src/scheduler/core/host.h
+++ b/src/scheduler/core/host.h
@@ -1,6 +1,6 @@
-// The life of a message. The host is the only caller of the decision module: it turns what the other parts
-// tell into the module's events, carries its actions out through them, and keeps count. It knows no protocol
-// and no sockets, so that a second frontend can share it.
+// The life cycle of a message. The host is the only caller of the decision module (`willowrill::Dispatcher`):
+// it turns calls of the other parts into the module's events, carries out its actions through them, and
+// counts the results. It knows neither protocols nor sockets, so that another frontend can share it.
 #pragma once
 
 #include <willowrill/dispatcher.h>
@@ -23,7 +23,7 @@
 using willowrill::Time;
 using willowrill::WorkerId;
 
-// What a client asks for. The host reads none of the texts but the id; the upstream connections pass them on.
+// A client's request. Of the texts, the host reads only `id`; the upstream connections forward the others.
 struct Message {
     std::string id{}, idempotency_key{}, method{}, target{}, body{};
     Index job_class = 0, tenant = willowrill::none;
@@ -31,41 +31,43 @@
     Duration hint{0};
     double slots = 1, memory = 0;
     bool is_retry = false;
-    bool repeatable = false; // a second run would be harmless
-    Time deadline{0};        // when the client gives up
+    bool repeatable = false; // running it twice is harmless
+    Time deadline{0};        // when the client stops waiting
 };
 
-// Whoever waits for the final answer of a message. Exactly one call comes, unless the client leaves first.
+// Receives the final answer of a message: exactly one call, unless the client leaves first.
 class Client {
   public:
     virtual ~Client() = default;
     virtual void on_served(std::string_view result) = 0;
-    virtual void on_refused(Duration stay_away) = 0; // the back-off answer
+    virtual void on_refused(Duration retry_after) = 0; // asks the client to back off
     virtual void on_failed() = 0;
 };
 
-// Carries the attempts. Each `start` is followed by one `Host::attempt_ended`, in or after the call.
+// Sends attempts to workers. Each `start` is followed by one `Host::attempt_ended`, during or after the call.
 class Upstream {
   public:
     virtual ~Upstream() = default;
-    // `begin_by`: an attempt whose request could not be written by then ends as one that never ran. `message`
-    // stays where it is until the attempt has ended.
-    virtual void start(JobId job, Index attempt, WorkerId worker, Time give_up, Time begin_by,
+    // The attempt times out at `timeout_at`. If its connection is not established by `begin_by`, it ends as
+    // one that never ran. `message` stays valid until the attempt has ended.
+    virtual void start(JobId job, Index attempt, WorkerId worker, Time timeout_at, Time begin_by,
                        const Message& message) = 0;
     virtual void cancel(JobId job, Index attempt) = 0;
-    // Nobody waits for the message any more: an attempt whose request has not gone out to its last byte ends
-    // here, whether or not workers heed a cancellation. Any other is left alone.
+    // Ends an attempt whose request has not been sent completely, whether or not workers support
+    // cancellation. Has no effect on any other attempt.
     virtual void cancel_if_unsent(JobId job, Index attempt) = 0;
-    virtual void probe(WorkerId worker) = 0; // followed by one `Host::probed`, in or after the call
+    virtual void probe(WorkerId worker) = 0; // followed by one `Host::probed`, during or after the call
 };
 
+// Supplies the list of workers through `Host::handle_worker_list`.
 class WorkerListSource {
   public:
     virtual ~WorkerListSource() = default;
-    virtual void watch(bool active) = 0; // asked anew while a watch is on, it changes nothing
+    virtual void watch(bool active) = 0; // idempotent
 };
 
-// Another run of this scheduler, at an upgrade: a message open in one is not taken by the other.
+// The other process of this scheduler during a hot restart. Each tells the other which messages it holds, so
+// that no message is admitted by both.
 class PeerProcess {
   public:
     virtual ~PeerProcess() = default;
@@ -74,58 +76,61 @@
     virtual bool holds(const std::string& id) const = 0;
 };
 
-// Keeps account of how messages ended, as their clients saw it: one call for each, from the one place where
-// that is known. It must not throw, and be quick.
+// Is notified once for each message of how it ended for its client. The call must not throw or block.
 class MessageObserver {
   public:
     enum class FinalStatus { served, refused, failed, client_left };
     virtual ~MessageObserver() = default;
-    virtual void on_message_ended(Index job_class, Index tenant,
-                                  FinalStatus ending) = 0; // tenant: `none` where unknown
+    // `tenant` is `none` if unknown.
+    virtual void on_message_ended(Index job_class, Index tenant, FinalStatus status) = 0;
 };
 
 struct Counters {
-    std::uint64_t admitted = 0, turned_away = 0, clients_left = 0;  // messages
+    std::uint64_t admitted = 0, rejected = 0, clients_left = 0;     // messages
     std::uint64_t served = 0, refused = 0, failed = 0, overdue = 0; // final answers; overdue ones by the host
     std::uint64_t sent = 0, cancelled = 0;                          // attempts
-    std::uint64_t aborted_by_shutdown = 0;   // messages that the end of the program did not wait for
-    std::array<std::uint64_t, 8> outcomes{}; // by willowrill::Outcome
+    std::uint64_t aborted_by_shutdown = 0;                          // messages ended by the shutdown
+    std::array<std::uint64_t, 8> outcomes{};                        // by willowrill::Outcome
     std::uint64_t batches = 0, list_updates = 0, failed_list_updates = 0;
 };
 
-// Jobs by the answer that their clients were given. What a client left counts nowhere.
+// Number of jobs of a class by final answer. Messages whose clients left are not counted.
 struct ClassTotals {
     std::uint64_t served = 0, refused = 0, failed = 0;
 };
 
+// Not thread-safe: all calls come from the event loop.
 class Host {
   public:
-    // `max_bytes` is for the messages held, with their copies on the way to a worker and back.
-    Host(const willowrill::Settings& settings, std::size_t max_open, std::size_t max_bytes,
-         Upstream& upstream, WorkerListSource& inventory);
+    // `max_open_messages` limits the messages without a final answer, `max_bytes` the memory of all messages
+    // that are held, with the copies of their bodies and results.
+    Host(const willowrill::Settings& settings, std::size_t max_open_messages, std::size_t max_bytes,
+         Upstream& upstream, WorkerListSource& worker_list);
 
-    // False: the id is in use, or no message more can be held. The client must outlive the message or call
-    // `client_left`.
+    // Returns false if the id is in use or a limit is reached, and counts the message as refused. `client`
+    // must outlive the message or call `client_left`.
     bool admit(Message message, Client& client, JobId& job);
+    // Whether this process or its peer process holds a message with this id.
     bool holds(const std::string& id) const {
-        return ids_.contains(id) || (neighbour_ != nullptr && neighbour_->holds(id));
+        return ids_.contains(id) || (peer_process_ != nullptr && peer_process_->holds(id));
     }
-    const std::unordered_set<std::string>& ids() const { return ids_; } // not free yet
-    void set_peer_process(PeerProcess& neighbour) { neighbour_ = &neighbour; }
-    void set_message_observer(MessageObserver& ledger) { ledger_ = &ledger; }
+    const std::unordered_set<std::string>& ids() const { return ids_; } // of messages that are held
+    void set_peer_process(PeerProcess& peer_process) { peer_process_ = &peer_process; }
+    void set_message_observer(MessageObserver& observer) { message_observer_ = &observer; }
     void set_max_bytes(std::size_t max_bytes) { max_bytes_ = max_bytes; }
-    // A message that was never taken in is answered with a refusal.
-    void turn_away(Index job_class, Index tenant);
-    // What such a refusal tells its client, as the module's do: when to come back, if clients are told at
-    // all. One that this program sends away as it ends finds room elsewhere at once.
-    Duration stay_away() const { return stay_away_; }
-    Duration go_elsewhere() const { return std::min(stay_away_, moment); }
+    // Counts a refusal of a message that was never admitted.
+    void record_rejection(Index job_class, Index tenant);
+    // Back-off for the client of such a message; 0 if clients take no advice. A client that is sent away
+    // because this instance shuts down can retry at another instance almost at once.
+    Duration retry_after() const { return retry_after_; }
+    Duration retry_elsewhere_after() const { return std::min(retry_after_, balancer_notice_time); }
     void client_left(JobId job);
-    void fail_overdue(JobId job); // the deadline passes and the module has not answered: fails it
-    // The program ends before the message can: refused if no attempt of it may have run, else failed.
+    void fail_overdue(JobId job); // the deadline passed and the module has not answered
+    // Ends a message that the shutdown cannot wait for: refuses it if it is repeatable or no attempt may have
+    // run, fails it otherwise.
     void abort_for_shutdown(JobId job);
-    // How long an attempt of the class takes at a worker as a rule; the class's aim until one was served.
-    Duration usual_time(Index job_class) const { return usual_[job_class]; }
+    // Moving average of the latency of served attempts of the class; the class's aim until one was served.
+    Duration typical_attempt_time(Index job_class) const { return typical_attempt_times_[job_class]; }
 
     void attempt_started(JobId job, Index attempt);
     void attempt_progress(JobId job, Index attempt, double done);
@@ -133,61 +138,64 @@
                        const std::optional<willowrill::Report>& report = {}, std::string_view result = {});
     void probed(WorkerId worker, willowrill::Outcome outcome, Duration latency,
                 const std::optional<willowrill::Report>& report);
-    void handle_worker_list(willowrill::EndpointListUpdate news);
+    void handle_worker_list(willowrill::EndpointListUpdate update);
 
-    // When `batch` is due: at the next tick if there is news, else when the module wants to wake.
+    // When `run_batch` is due: at the next tick if events are queued, otherwise when the module wants to
+    // wake.
     std::optional<Time> next_batch_time() const;
+    // Passes the queued events to the module and carries out its actions.
     void run_batch(Time now);
 
-    std::size_t open_messages() const { return open_; } // messages without a final answer
-    std::size_t attempts_in_flight() const { return out_; }
+    std::size_t open_messages() const { return open_messages_; } // messages without a final answer
+    std::size_t attempts_in_flight() const { return attempts_in_flight_; }
     const Counters& counters() const { return counters_; }
-    const std::vector<ClassTotals>& class_totals() const { return tallies_; } // by class
+    const std::vector<ClassTotals>& class_totals() const { return class_totals_; } // by class
     std::size_t workers_excluded(Time now) const { return dispatcher_.excluded(now); }
 
   private:
     struct Attempt {
         WorkerId worker = 0;
         Time sent{0};
-        bool out = true, may_have_run = true;
+        bool in_flight = true, may_have_run = true;
     };
-    // A message's place is free again once it has its final answer, no attempt of it is out, and the module
-    // has been told of both: only then may the id return.
+    // An entry and its message id can be reused only after the final answer was given, no attempt is in
+    // flight, and the module has processed all events of the message.
     struct Entry {
         Message message;
         Client* client = nullptr;
-        bool used = false, answered = false;
+        bool in_use = false, answered = false;
         std::size_t bytes = 0;
         std::vector<Attempt> attempts{};
-        std::size_t holds = 0; // attempts out, and events that the module has not seen
+        std::size_t references = 0; // attempts in flight and queued events
     };
 
-    using End = MessageObserver::FinalStatus;
-    Client* close(JobId job, End end); // the one place where a message ends
+    using FinalStatus = MessageObserver::FinalStatus;
+    Client* end_message(JobId job, FinalStatus status); // null if it has ended already
     void cancel_if_unsent(JobId job);
-    void tell(JobId job, willowrill::Event event);
+    void queue_event(JobId job, willowrill::Event event);
     void release(JobId job);
-    static constexpr Duration moment = std::chrono::milliseconds(250); // in which the front has noticed
-    void carry_out(const willowrill::Action& action, Time now);
+    // Time in which the load balancer notices that this instance shuts down.
+    static constexpr Duration balancer_notice_time = std::chrono::milliseconds(250);
+    void execute(const willowrill::Action& action, Time now);
 
     willowrill::Dispatcher dispatcher_;
-    Duration tick_, stay_away_;
-    std::vector<Duration> usual_; // by class
-    std::size_t max_open_, max_bytes_, bytes_ = 0;
+    Duration tick_, retry_after_;
+    std::vector<Duration> typical_attempt_times_; // by class
+    std::size_t max_open_messages_, max_bytes_, held_bytes_ = 0;
     Upstream& upstream_;
-    WorkerListSource& inventory_;
-    PeerProcess* neighbour_ = nullptr;
-    MessageObserver* ledger_ = nullptr;
-    std::deque<Entry> entries_; // a deque, as references must outlive the arrival of others
-    std::vector<JobId> free_, touched_;
+    WorkerListSource& worker_list_;
+    PeerProcess* peer_process_ = nullptr;
+    MessageObserver* message_observer_ = nullptr;
+    std::deque<Entry> entries_; // by job; a deque keeps references valid when it grows
+    std::vector<JobId> free_jobs_, release_candidates_;
     std::unordered_set<std::string> ids_;
     std::vector<willowrill::Event> events_;
-    std::vector<JobId> event_jobs_; // the messages that `events_` hold on to
-    std::optional<Time> wake_;
+    std::vector<JobId> event_jobs_; // jobs of `events_`, each of which holds a reference
+    std::optional<Time> wake_at_;
     Time last_batch_{0};
-    std::size_t open_ = 0, out_ = 0;
+    std::size_t open_messages_ = 0, attempts_in_flight_ = 0;
     Counters counters_;
-    std::vector<ClassTotals> tallies_; // by class
+    std::vector<ClassTotals> class_totals_; // by class
 };
 
 } // namespace willowrill::core
--- a/src/scheduler/frontend/arrival_times.h
+++ b/src/scheduler/frontend/arrival_times.h
@@ -1,5 +1,5 @@
-// When the bytes came that wait unread on a connection: a client's time for a request runs from then on, and
-// not from when the one before it was answered. It holds no bytes and knows no sockets.
+// Records when the unread bytes of a connection arrived. The deadline of a pipelined request counts from its
+// arrival, not from the response to the request before it. Holds no bytes and does no I/O.
 #pragma once
 
 #include "scheduler/net/clock.h"
@@ -12,43 +12,46 @@
 
 class ArrivalTimes {
   public:
-    // So many bytes wait by now. `full`: the buffer takes no more, so that the next ones may be here already.
-    // Those, and bytes beyond `most_marks` times, count as come with the last ones that are known: a client
-    // may seem to have asked earlier than it did, never later.
-    void record_unread(std::size_t bytes, net::Time now, bool full) {
-        const std::size_t end = taken_ + bytes;
-        if (was_full_) now = full_at_;
-        was_full_ = full;
-        full_at_ = now;
-        if (end <= (count_ > 0 ? last().end : taken_)) return;
-        if (count_ == most_marks) {
-            last().end = end;
+    // Notes that `bytes` bytes are unread at `now`. With `buffer_full`, more may have arrived already that
+    // cannot be read yet. Those, and bytes beyond `max_arrivals` arrival times, get the time of the previous
+    // record or arrival: a request may seem to have arrived earlier than it did, but never later.
+    void record_unread(std::size_t bytes, net::Time now, bool buffer_full) {
+        const std::size_t end_offset = consumed_bytes_ + bytes;
+        if (was_buffer_full_) now = last_recorded_at_;
+        was_buffer_full_ = buffer_full;
+        last_recorded_at_ = now;
+        if (end_offset <= (count_ > 0 ? newest().end_offset : consumed_bytes_)) return;
+        if (count_ == max_arrivals) {
+            newest().end_offset = end_offset;
         } else {
-            marks_[(first_ + count_++) % most_marks] = {end, now};
+            arrivals_[(first_index_ + count_++) % max_arrivals] = {end_offset, now};
         }
     }
+    // Notes that the first `bytes` unread bytes were consumed.
     void record_consumed(std::size_t bytes) {
-        taken_ += bytes;
-        while (count_ > 0 && marks_[first_].end <= taken_) {
-            first_ = (first_ + 1) % most_marks;
+        consumed_bytes_ += bytes;
+        while (count_ > 0 && arrivals_[first_index_].end_offset <= consumed_bytes_) {
+            first_index_ = (first_index_ + 1) % max_arrivals;
             --count_;
         }
     }
-    // Of the first byte that waits; `now` where none was noted.
-    net::Time first_unread(net::Time now) const { return count_ > 0 ? marks_[first_].at : now; }
+    // Arrival time of the first unread byte; `now` if there is none.
+    net::Time first_unread(net::Time now) const {
+        return count_ > 0 ? arrivals_[first_index_].arrived_at : now;
+    }
 
   private:
-    static constexpr std::size_t most_marks = 8;
-    struct Mark {
-        std::size_t end = 0; // of the bytes that came at that time, counted over the connection
-        net::Time at{0};
+    static constexpr std::size_t max_arrivals = 8;
+    struct Arrival {
+        std::size_t end_offset = 0; // of the bytes that arrived then, in bytes since the connection opened
+        net::Time arrived_at{0};
     };
-    Mark& last() { return marks_[(first_ + count_ - 1) % most_marks]; }
+    Arrival& newest() { return arrivals_[(first_index_ + count_ - 1) % max_arrivals]; }
 
-    std::array<Mark, most_marks> marks_{};
-    std::size_t first_ = 0, count_ = 0, taken_ = 0;
-    bool was_full_ = false;
-    net::Time full_at_{0};
+    std::array<Arrival, max_arrivals> arrivals_{};
+    std::size_t first_index_ = 0, count_ = 0, consumed_bytes_ = 0;
+    bool was_buffer_full_ = false;
+    net::Time last_recorded_at_{0};
 };
 
 } // namespace willowrill::frontend
--- a/src/scheduler/frontend/request.h
+++ b/src/scheduler/frontend/request.h
@@ -1,4 +1,4 @@
-// A client's HTTP request read as a message. No sockets here.
+// Converts a client's HTTP request to a message. Does no I/O.
 #pragma once
 
 #include "scheduler/config/settings.h"
@@ -10,12 +10,14 @@
 
 namespace willowrill::frontend {
 
+// Why a request is rejected: status and body of the response.
 struct Rejection {
     int status = 400;
     std::string reason;
 };
 
-// False, with the rejection, where the request cannot be a message.
+// Fills `message` and moves the body out of `request`. Returns false and sets `rejection` if the request is
+// invalid. `now` is the time at which the request arrived.
 bool read_message(net::http::Parser& request, const config::Settings& settings, net::Time now,
                   core::Message& message, Rejection& rejection);
 
--- a/src/scheduler/upstream/pool.h
+++ b/src/scheduler/upstream/pool.h
@@ -1,4 +1,4 @@
-// The connections to the workers. Each carries one attempt at a time.
+// The pool of connections to workers. Each connection carries one attempt or probe at a time.
 #pragma once
 
 #include "scheduler/core/host.h"
@@ -16,65 +16,76 @@
 namespace willowrill::upstream {
 
 struct PoolLimits {
-    std::size_t connections = 0; // descriptors for this side
-    net::Duration idle{0};       // workers close what has been idle this long
+    std::size_t connections = 0; // open connections
+    net::Duration idle{0};       // workers close connections that are idle this long
     net::Duration connect_timeout{0};
 };
 
 struct PoolCounters {
+    // `failed_unsent`: attempts that failed before their request was sent completely. `closed_by_worker`:
+    // idle connections. `evicted`: idle connections closed to stay within the limit. `reuse_failures`: reused
+    // connections that broke before a response.
     std::uint64_t opened = 0, reused = 0, failed_unsent = 0, idle_timeouts = 0, closed_by_worker = 0,
                   evicted = 0, reuse_failures = 0;
-    std::uint64_t written = 0; // attempts whose request went out to its last byte
-    // Probes: sent to their last byte or not, and how they ended: with a report, with an answer that is no
-    // 200, with one that holds no report, not in time, broken, or given up for a job's sake.
+    std::uint64_t written = 0; // attempts whose request was sent completely
+    // Probes that were started, and how they ended: with a load report, with a status other than 200, with a
+    // malformed response or one without a report, by timeout, with a failed connection, or for lack of a
+    // connection, as attempts take precedence.
     std::uint64_t probes = 0, probe_reports = 0, probe_error_statuses = 0, probe_malformed = 0,
                   probe_timeouts = 0, probe_connections_lost = 0, probes_without_connection = 0;
 };
 
+// Not thread-safe: all calls come from the event loop.
 class Pool final : public core::Upstream {
   public:
     Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
          PoolLimits limits);
     ~Pool() override;
-    void set_host(core::Host& host) { host_ = &host; } // the host and the pool know each other
+    void set_host(core::Host& host) { host_ = &host; } // required before any other call
 
-    void start(core::JobId job, core::Index attempt, core::WorkerId worker, core::Time give_up,
+    void start(core::JobId job, core::Index attempt, core::WorkerId worker, core::Time timeout_at,
                core::Time begin_by, const core::Message& message) override;
     void cancel(core::JobId job, core::Index attempt) override;
     void cancel_if_unsent(core::JobId job, core::Index attempt) override;
     void probe(core::WorkerId worker) override;
-    void set_max_connections(std::size_t connections); // idle ones beyond it are closed
-    // To workers that drain, are gone or have moved: idle connections, and those that still come up.
+    void set_max_connections(std::size_t connections); // closes idle connections beyond the limit
+    // Closes the idle and connecting connections to workers that are draining, are gone or have a new
+    // address.
     void close_unlisted();
 
-    std::size_t size() const { return size_; }
+    std::size_t size() const { return open_connections_; }
     std::size_t max_connections() const { return limits_.connections; }
     const PoolCounters& counters() const { return counters_; }
 
   private:
-    class Channel;
-    using Channels = std::list<std::shared_ptr<Channel>>;
+    class WorkerConnection;
+    using ConnectionList = std::list<std::shared_ptr<WorkerConnection>>;
 
-    std::shared_ptr<Channel> take_idle(core::WorkerId worker, bool settled_only);
-    void reuse_failed();     // a kept connection broke at its next request
-    double distrust() const; // of kept connections
-    std::shared_ptr<Channel> open(core::WorkerId worker, willowrill::Outcome& failure);
-    void drop(Channel& channel);
-    bool is_listed(const Channel& channel) const; // its worker takes new jobs, and at that address
-    bool make_room();
+    std::shared_ptr<WorkerConnection> take_idle(core::WorkerId worker, bool settled_only);
+    void record_reuse_failure(); // a reused connection broke before a response
+    // Number of recent reuse failures, decaying exponentially with time.
+    double reuse_failure_score() const;
+    // Returns null and sets `failure` if no connection can be opened.
+    std::shared_ptr<WorkerConnection> connect(core::WorkerId worker, willowrill::Outcome& failure);
+    void remove(WorkerConnection& connection);
+    // Whether the worker accepts new jobs at the connection's address.
+    bool is_listed(const WorkerConnection& connection) const;
+    bool make_room(); // closes a connection if the limit is reached; false if none can be closed
 
     net::Loop& loop_;
     const discovery_client::List& list_;
     const std::vector<config::ReportName>& fields_;
     PoolLimits limits_;
     core::Host* host_ = nullptr;
-    Channels idle_;                                                       // the most recently used last
-    std::unordered_map<std::uint64_t, std::shared_ptr<Channel>> busy_;    // by message and attempt
-    std::unordered_map<core::WorkerId, std::shared_ptr<Channel>> asking_; // probes: one a worker at a time
-    std::unordered_map<Channel*, std::shared_ptr<Channel>> closing_; // verdict given, answer not at its end
-    std::size_t size_ = 0;
-    double failures_ = 0; // of kept connections, fading with time
-    net::Time failures_at_{0};
+    ConnectionList idle_;                                                       // the most recently used last
+    std::unordered_map<std::uint64_t, std::shared_ptr<WorkerConnection>> busy_; // by message and attempt
+    // One probe per worker at a time.
+    std::unordered_map<core::WorkerId, std::shared_ptr<WorkerConnection>> probing_;
+    // The result is known, but the response has not been read to its end.
+    std::unordered_map<WorkerConnection*, std::shared_ptr<WorkerConnection>> draining_;
+    std::size_t open_connections_ = 0;
+    double decayed_failures_ = 0; // `reuse_failure_score` at `last_failure_at_`
+    net::Time last_failure_at_{0};
     PoolCounters counters_;
 };
 
--- a/src/scheduler/upstream/response_reader.h
+++ b/src/scheduler/upstream/response_reader.h
@@ -1,4 +1,4 @@
-// What a worker's answer means: outcomes, notes and load reports. No sockets here.
+// Interprets workers' responses: outcomes, progress notes and load reports. Does no I/O.
 #pragma once
 
 #include "scheduler/config/settings.h"
@@ -14,35 +14,39 @@
 
 namespace willowrill::upstream {
 
-struct Verdict {
+// How an attempt ended.
+struct AttemptResult {
     willowrill::Outcome outcome = willowrill::Outcome::reset;
     std::optional<willowrill::Report> report{};
-    std::string result{}; // of a job that was done, unescaped
+    std::string result{}; // of a served job, with JSON escapes resolved
 };
 
+// A worker's note that it has started a job, or how much of it is done.
 struct ProgressNote {
-    bool started = false; // else progress
-    double share = 0;
+    bool started = false;
+    double share = 0; // of the job, if not `started`
 };
 
-// Reads the answer to one attempt as it comes in.
+// Reads the response to one attempt incrementally: a stream of JSON lines, of which the last is the result.
 class ResponseReader {
   public:
     explicit ResponseReader(const std::vector<config::ReportName>& fields);
     ~ResponseReader();
 
-    void begin(std::string id); // of the message that is out
+    void begin(std::string id); // of the message whose response follows
 
-    // The load report in the whole answer to a probe: in its body, bare or as `load`, or in the header. None
-    // where it is no 200, or holds nothing that the settings name and that can be.
+    // Returns the load report in the complete response to a probe: the JSON body, its `load` member, or the
+    // X-Server-Load header. Returns nothing if the status is not 200 or no configured field has a valid
+    // value.
     std::optional<willowrill::Report> read_probe(net::http::Parser& parser) const;
 
-    // Looks at what the parser holds, and takes lines out of its body. Gives the verdict once there is one.
-    std::optional<Verdict> read(net::http::Parser& parser, std::vector<ProgressNote>& notes);
+    // Consumes complete lines from the parser's body and appends progress to `notes`. Returns the result once
+    // it is known.
+    std::optional<AttemptResult> read(net::http::Parser& parser, std::vector<ProgressNote>& notes);
 
   private:
-    std::optional<Verdict> read_line(std::string_view line, std::vector<ProgressNote>& notes);
-    std::optional<willowrill::Report> read_header(const net::http::Head& head) const;
+    std::optional<AttemptResult> read_line(std::string_view line, std::vector<ProgressNote>& notes);
+    std::optional<willowrill::Report> read_load_header(const net::http::Head& head) const;
 
     struct Json;
     const std::vector<config::ReportName>& fields_;
