--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -76,7 +76,7 @@
                     {"class", std::uint64_t{admitted_message.job_class}},
                     {"tenant", tenant_field(admitted_message.tenant)},
                     {"slots", admitted_message.slots}},
-                   fmt::format("message {} admitted: class {}, {} slots{}", admitted_message.id,
+                   fmt::format("message {} taken in: class {}, {} slots{}", admitted_message.id,
                                admitted_message.job_class, admitted_message.slots,
                                admitted_message.is_retry ? ", retry" : ""));
     }
--- a/tests/scheduler/net/http_test.cpp
+++ b/tests/scheduler/net/http_test.cpp
@@ -11,13 +11,14 @@
 using net::http::Parser;
 using Kind = Parser::Kind;
 
-// Feeds in pieces of random size, and takes the body out on the way as the upstream connections do.
-std::string parse_in_pieces(Parser& parser, std::string_view bytes, std::mt19937& random, std::size_t& used) {
+// Feeds `bytes` in pieces of random size and consumes the body meanwhile, as the upstream connections do.
+std::string parse_in_pieces(Parser& parser, std::string_view bytes, std::mt19937& random,
+                            std::size_t& consumed_bytes) {
     std::string body;
-    used = 0;
-    while (used < bytes.size() && !parser.done() && !parser.bad()) {
-        const std::size_t piece = 1 + random() % 7;
-        used += parser.feed(bytes.substr(used, piece));
+    consumed_bytes = 0;
+    while (consumed_bytes < bytes.size() && !parser.done() && !parser.bad()) {
+        const std::size_t piece_bytes = 1 + random() % 7;
+        consumed_bytes += parser.feed(bytes.substr(consumed_bytes, piece_bytes));
         body += parser.body();
         parser.body().clear();
     }
@@ -32,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("a request reads the same however it is cut") {
+TEST_CASE("a request parses the same however it is split") {
     const std::string head = "\r\nPOST /api?x=1 HTTP/1.1\r\nHost: b\r\nX-Name:  two words \r\n";
     const std::string plain = head + "Content-Length: 5\r\n\r\nhello";
     const std::string chunked =
@@ -41,10 +42,10 @@
     for (const std::string& request : {plain, chunked}) {
         for (int i = 0; i < 200; ++i) {
             Parser parser(Kind::request);
-            std::size_t used = 0;
-            CHECK(parse_in_pieces(parser, request + "GET /next", random, used) == "hello");
+            std::size_t consumed_bytes = 0;
+            CHECK(parse_in_pieces(parser, request + "GET /next", random, consumed_bytes) == "hello");
             REQUIRE(parser.done());
-            CHECK(used == request.size());
+            CHECK(consumed_bytes == request.size());
             CHECK(parser.head().method == "POST");
             CHECK(parser.head().target == "/api?x=1");
             CHECK(*parser.head().find("x-name") == "two words");
@@ -55,7 +56,7 @@
     }
 }
 
-TEST_CASE("malformed and oversized requests are told by their status") {
+TEST_CASE("malformed and oversized requests are reported by their status") {
     const std::string start = "POST / HTTP/1.1\r\n";
     CHECK(error_of("nonsense\r\n") == 400);
     CHECK(error_of("POST / HTTP/1.1 \r\n") == 400);
@@ -79,18 +80,18 @@
     CHECK(error_of(start + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n") == 400);
     CHECK(error_of(start + "A: " + std::string(net::http::max_head_bytes, 'a')) == 431);
     CHECK(error_of(std::string(net::http::max_head_bytes + 1, 'A')) == 431);
-    std::string many = start;
+    std::string many_fields = start;
     for (int i = 0; i < 2000; ++i)
-        many += "A: 12345\r\n";
-    CHECK(error_of(many) == 431);
-    std::string large = start + "Transfer-Encoding: chunked\r\n\r\n";
+        many_fields += "A: 12345\r\n";
+    CHECK(error_of(many_fields) == 431);
+    std::string large_body = start + "Transfer-Encoding: chunked\r\n\r\n";
     for (int i = 0; i < 5; ++i)
-        large += "4000\r\n" + std::string(0x4000, 'a') + "\r\n";
-    CHECK(error_of(large) == 413);
+        large_body += "4000\r\n" + std::string(0x4000, 'a') + "\r\n";
+    CHECK(error_of(large_body) == 413);
     CHECK(error_of(start + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'a')) == 0);
 }
 
-TEST_CASE("answers: interim ones are skipped, one without a length ends with the connection") {
+TEST_CASE("interim responses are skipped, and one without a length ends with the connection") {
     Parser parser(Kind::response);
     parser.feed("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\n\r\nab");
     CHECK(parser.head().status == 200);
@@ -100,26 +101,26 @@
     CHECK(parser.done());
     CHECK(parser.body() == "ab");
 
-    Parser cut(Kind::response);
-    cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
-    cut.end_of_input();
-    CHECK(cut.bad());
+    Parser truncated(Kind::response);
+    truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
+    truncated.end_of_input();
+    CHECK(truncated.bad());
     CHECK(error_of("HTTP/1.1 20 OK\r\n", Kind::response) == 400);
     CHECK(error_of("SSH-2.0-x\r\n", Kind::response) == 400);
 }
 
-TEST_CASE("what is written can be read") {
+TEST_CASE("written messages can be parsed") {
     Parser request(Kind::request);
     request.feed(net::http::write_request("POST", "/a", {{"Host", "h"}}, "body"));
     CHECK(request.done());
     CHECK(request.body() == "body");
-    Parser answer(Kind::response);
-    answer.feed(net::http::write_response(503, {{"Retry-After", "1.500"}}, ""));
-    CHECK(answer.done());
-    CHECK(*answer.head().find("retry-after") == "1.500");
+    Parser response(Kind::response);
+    response.feed(net::http::write_response(503, {{"Retry-After", "1.500"}}, ""));
+    CHECK(response.done());
+    CHECK(*response.head().find("retry-after") == "1.500");
 }
 
-TEST_CASE("random bytes never get past the limits") {
+TEST_CASE("random bytes never exceed the limits") {
     std::mt19937 random(2);
     const std::string alphabet =
         "POST / HTTP/1.1\r\n:chunkedTransfer-EncodingContent-Length0123456789abcdef;, ";
@@ -128,10 +129,10 @@
         std::string bytes = i % 4 < 2 ? "" : (i % 2 == 0 ? "POST / HTTP/1.1\r\n" : "HTTP/1.1 200 OK\r\n");
         while (bytes.size() < 300)
             bytes += alphabet[random() % alphabet.size()];
-        std::size_t used = 0;
-        parse_in_pieces(parser, bytes, random, used);
-        CHECK(used <= bytes.size());
-        CHECK((used == bytes.size() || parser.done() || parser.bad()));
+        std::size_t consumed_bytes = 0;
+        parse_in_pieces(parser, bytes, random, consumed_bytes);
+        CHECK(consumed_bytes <= bytes.size());
+        CHECK((consumed_bytes == bytes.size() || parser.done() || parser.bad()));
     }
 }
 
--- a/tests/scheduler/net/loop_test.cpp
+++ b/tests/scheduler/net/loop_test.cpp
@@ -1,4 +1,4 @@
-// The loop after a pause of the process: how often timers go off, and how soon it waits again.
+// The loop after a pause of the process: how often timers fire, and how soon the loop is idle again.
 #include "scheduler/net/loop.h"
 
 #include <doctest/doctest.h>
@@ -11,9 +11,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::array<net::Duration, 3> pauses{5s, 40s, 300s};
+constexpr std::array<net::Duration, 3> pause_lengths{5s, 40s, 300s};
 
-// Goes off again and again, as the program's periodic work does.
+// A timer that rearms itself, as the program's periodic tasks do.
 struct Periodic {
     Periodic(net::Loop& loop, net::Duration period)
         : loop(loop), period(period), timer(loop.timer_wheel(), [this] { fire(); }) {
@@ -31,32 +31,32 @@
 
 } // namespace
 
-// All periods are within the pause, and none is shorter than half of it: however slow the machine, no timer
-// is due again before the loop has waited.
-TEST_CASE("loop: after a pause each timer goes off once, however long the pause was") {
-    constexpr int timers = 500;
-    for (const net::Duration pause : pauses) {
+// All periods are between half of the pause and the whole pause, so that even on a slow machine no timer is
+// due again before the loop is idle.
+TEST_CASE("loop: after a pause each timer fires once, however long the pause was") {
+    constexpr int timer_count = 500;
+    for (const net::Duration pause : pause_lengths) {
         net::Loop loop;
-        std::deque<Periodic> periodic;
-        for (int i = 0; i < timers; ++i)
-            periodic.emplace_back(loop, pause / 2 + i * (pause / (2 * timers)));
+        std::deque<Periodic> periodic_timers;
+        for (int i = 0; i < timer_count; ++i)
+            periodic_timers.emplace_back(loop, pause / 2 + i * (pause / (2 * timer_count)));
         loop.run_once(0ms);
         loop.jump(pause);
         loop.run_once(0ms);
-        int due = 0;
-        for (const Periodic& one : periodic) {
-            CHECK(one.fired <= 1);
-            due += one.fired;
+        int total_fired = 0;
+        for (const Periodic& timer : periodic_timers) {
+            CHECK(timer.fired <= 1);
+            total_fired += timer.fired;
         }
-        CHECK(due == timers);
+        CHECK(total_fired == timer_count);
         loop.run_once(50ms);
         CHECK(loop.iterations_since_idle() == 0);
     }
 }
 
-// They would wake the loop at each slot that holds one; on a machine where a round takes longer than the way
-// from one slot to the next, it would never wait.
-TEST_CASE("loop: timers that are due in a later turn of the wheel wake nobody") {
+// Guards against a wakeup at each slot that holds a timer of a later rotation: on a machine where an
+// iteration takes longer than the time between two such slots, the loop would never be idle.
+TEST_CASE("loop: timers that are due in a later rotation of the wheel cause no wakeup") {
     constexpr net::Time start{0};
     net::TimerWheel wheel(start);
     int fired = 0;
@@ -65,33 +65,33 @@
         timers.emplace_back(wheel, [&] { ++fired; });
         timers.back().arm(start + 5s + i * 7ms);
     }
-    int looks = 0;
+    int wakeups = 0;
     for (std::optional<net::Time> next = wheel.next_wakeup(); next && fired == 0;
          next = wheel.next_wakeup()) {
         wheel.advance(*next);
-        ++looks;
+        ++wakeups;
     }
     CHECK(fired == 1);
-    CHECK(looks == 5); // four turns of the wheel, and the first timer
+    CHECK(wakeups == 5); // four rotations of the wheel, and the first timer
     CHECK(wheel.next_wakeup() == start + 5s + 7ms);
     for (net::Timer& timer : timers)
         timer.disarm();
     CHECK_FALSE(wheel.next_wakeup().has_value());
 }
 
-TEST_CASE("loop: a timer that is armed anew for a time long past lets the loop wait in between") {
+TEST_CASE("loop: a timer that is rearmed for a past time lets the loop become idle in between") {
     net::Loop loop;
-    net::Time due = loop.now();
+    net::Time due_at = loop.now();
     int fired = 0;
-    net::Timer* self = nullptr;
+    net::Timer* timer_pointer = nullptr;
     net::Timer timer(loop.timer_wheel(), [&] {
         ++fired;
-        self->arm(due += 1ms); // catches up with what it missed, one period at a time
+        timer_pointer->arm(due_at += 1ms); // catches up one missed period at a time
     });
-    self = &timer;
-    timer.arm(due);
+    timer_pointer = &timer;
+    timer.arm(due_at);
     loop.jump(300s);
-    for (int round = 0; round < 20; ++round)
+    for (int iteration = 0; iteration < 20; ++iteration)
         loop.run_once(1s);
     CHECK(fired <= 20);
     CHECK(loop.iterations_since_idle() <= 1);
