--- a/src/scheduler/net/http.h
+++ b/src/scheduler/net/http.h
@@ -13,8 +13,8 @@
 
 inline constexpr std::size_t max_body_bytes = std::size_t{64} * 1024;
 inline constexpr std::size_t max_head_bytes = std::size_t{16} * 1024;
-// Input limit of a `Connection` that carries HTTP. It needs to hold no whole message, as the parser consumes
-// partial ones.
+// Input limit of a `Connection` that carries HTTP. The buffer need not hold a whole message, as the parser
+// consumes partial ones.
 inline constexpr std::size_t input_buffer_bytes = std::size_t{16} * 1024;
 
 // Start line and header fields of a message.
--- a/tests/scheduler/core/host_test.cpp
+++ b/tests/scheduler/core/host_test.cpp
@@ -217,7 +217,8 @@
             ->first;
     }
     std::map<Key, InFlightAttempt>::iterator find_expired() {
-        return std::ranges::find_if(in_flight_, [&](const auto& item) { return item.second.timeout_at <= now; });
+        return std::ranges::find_if(in_flight_,
+                                    [&](const auto& item) { return item.second.timeout_at <= now; });
     }
     Requester* random_open_requester() {
         for (int i = 0; i < 5 && !requesters.empty(); ++i) {
