--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -284,9 +284,10 @@
                            return;
                        }
                        const Time deadline = entry.message.deadline;
-                       const Time give_up =
+                       const Time timeout_at =
                            send.time_out > Duration(0) ? std::min(deadline, now + send.time_out) : deadline;
-                       upstream_.start(send.job, attempt, send.worker, give_up, send.begin_by, entry.message);
+                       upstream_.start(send.job, attempt, send.worker, timeout_at, send.begin_by,
+                                       entry.message);
                    },
                    [&](const willowrill::Refuse& refuse) {
                        if (Client* client = end_message(refuse.job, FinalStatus::refused)) {
--- a/src/scheduler/core/host.h
+++ b/src/scheduler/core/host.h
@@ -23,12 +23,12 @@
 using willowrill::Time;
 using willowrill::WorkerId;
 
-// A client's request. Of the texts, the host reads only `id`; the upstream connections forward the others.
+// A client's request. Of its strings, the host reads only `id`; the upstream connections forward the others.
 struct Message {
     std::string id{}, idempotency_key{}, method{}, target{}, body{};
     Index job_class = 0, tenant = willowrill::none;
-    std::optional<std::uint64_t> key{};
-    Duration hint{0};
+    std::optional<std::uint64_t> key{}; // see `willowrill::JobArrived`
+    Duration hint{0};                   // estimated running time; 0 if unknown
     double slots = 1, memory = 0;
     bool is_retry = false;
     bool repeatable = false; // running it twice is harmless
--- a/src/scheduler/frontend/request.cpp
+++ b/src/scheduler/frontend/request.cpp
@@ -14,6 +14,7 @@
 constexpr double max_cost_us = 1e14;
 constexpr std::uint64_t max_timeout_ms = std::uint64_t{24} * 3600000; // longer timeouts are rejected
 
+// Parses a finite number that is not negative.
 std::optional<double> parse_non_negative(std::string_view text) {
     double value = 0;
     const char* end = text.data() + text.size();
@@ -41,8 +42,8 @@
     }
 }
 
-// Reads X-Attrs. Slots and memory may have the names of the simulator's protocol (`needs`, `ram_units`) or
-// plain ones.
+// Reads X-Attrs; returns false if a value is invalid. Slots and memory may have the names of the simulator's
+// protocol (`needs`, `ram_units`) or plain ones.
 bool read_attributes(std::string_view list, core::Message& message) {
     bool is_valid = true;
     for_each_pair(list, ',', [&](std::string_view name, std::string_view text) {
--- a/src/scheduler/upstream/pool.cpp
+++ b/src/scheduler/upstream/pool.cpp
@@ -250,7 +250,7 @@
     core::Time timeout_at_{0};
     const core::Message* message_ = nullptr; // set while the connection is being established
     net::Time idle_since_{0}, probe_sent_at_{0};
-    bool has_been_idle_ = false; // is reused
+    bool has_been_idle_ = false; // whether the current attempt or probe reuses it
 };
 
 Pool::Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
