--- a/bench/counts_bench.cpp
+++ b/bench/counts_bench.cpp
@@ -49,8 +49,8 @@
 
 void count(benchmark::State& state) {
     const auto tenants = static_cast<std::size_t>(state.range(0));
-    Book book({.tenants = 100'000}, {"i", 1, 1, 1}, 1s);
-    std::vector<Series> series;
+    CountStore book({.max_tenants = 100'000}, {"i", 1, 1, 1}, 1s);
+    std::vector<SeriesIndex> series;
     for (std::size_t i = 0; i < tenants; ++i)
         series.push_back(book.series(name(i), "record-event"));
     const auto all = jobs(tenants);
@@ -59,7 +59,7 @@
     for (auto _ : state) {
         for (const std::size_t tenant : all)
             book.count(series[tenant], Outcome::served);
-        book.seal(now += 250ms); // so that each batch relinks what it touches, as after an exchange
+        book.publish(now += 250ms); // so that each batch relinks what it touches, as after an exchange
     }
     report(state, allocations - before);
 }
@@ -67,12 +67,12 @@
 
 void floor_plain_array(benchmark::State& state) {
     const auto tenants = static_cast<std::size_t>(state.range(0));
-    std::vector<std::uint64_t> counters(tenants * outcomes);
+    std::vector<std::uint64_t> counters(tenants * outcome_count);
     const auto all = jobs(tenants);
     const std::size_t before = allocations;
     for (auto _ : state) {
         for (const std::size_t tenant : all)
-            ++counters[tenant * outcomes];
+            ++counters[tenant * outcome_count];
         benchmark::ClobberMemory();
     }
     report(state, allocations - before);
@@ -100,9 +100,9 @@
 // another.
 void deltas_and_apply(benchmark::State& state) {
     const auto lives = static_cast<std::size_t>(state.range(0));
-    std::vector<Book> owners;
-    Book from({}, {"from", 1, 1, 1}, 1s), to({}, {"to", 1, 1, 1}, 1s);
-    std::vector<Series> series;
+    std::vector<CountStore> owners;
+    CountStore from({}, {"from", 1, 1, 1}, 1s), to({}, {"to", 1, 1, 1}, 1s);
+    std::vector<SeriesIndex> series;
     for (std::size_t i = 0; i < lives; ++i) {
         owners.emplace_back(Limits{}, Identity{"o" + std::to_string(i), 1, 1, 1}, 1s);
         series.push_back(owners.back().series("t", "c"));
@@ -114,14 +114,14 @@
         now += 1s;
         for (std::size_t i = 0; i < lives; ++i) {
             owners[i].count(series[i], Outcome::served);
-            owners[i].seal(now);
+            owners[i].publish(now);
             for (const Delta& delta : owners[i].save(1100))
                 from.apply(delta, now);
         }
         state.ResumeTiming();
-        for (const Digest& digest : to.digest(50)) {
-            std::vector<Want> lacking;
-            for (const Delta& delta : from.deltas(from.answer(digest, lacking, now), 1100, 1000))
+        for (const Digest& digest : to.make_digests(50)) {
+            std::vector<KnownVersion> lacking;
+            for (const Delta& delta : from.make_deltas(from.process_digest(digest, lacking, now), 1100, 1000))
                 to.apply(delta, now);
         }
         updates += static_cast<std::int64_t>(lives);
@@ -133,18 +133,18 @@
 void totals(benchmark::State& state) {
     const auto lives = static_cast<std::size_t>(state.range(0)),
                tenants = static_cast<std::size_t>(state.range(1));
-    Book book({.tenants = 100'000}, {"self", 1, 1, 1}, 1s);
+    CountStore book({.max_tenants = 100'000}, {"self", 1, 1, 1}, 1s);
     for (std::size_t i = 0; i < lives; ++i) {
-        Book other({.tenants = 100'000}, {"o" + std::to_string(i), 1, 1, 1}, 1s);
+        CountStore other({.max_tenants = 100'000}, {"o" + std::to_string(i), 1, 1, 1}, 1s);
         for (std::size_t tenant = 0; tenant < tenants; ++tenant)
             other.count(other.series(name(tenant), "c"), Outcome::served);
-        other.seal(2s);
+        other.publish(2s);
         for (const Delta& delta : other.save(1U << 16U))
             book.apply(delta, 2s);
     }
     for (auto _ : state)
         benchmark::DoNotOptimize(book.totals(3s));
-    state.counters["bytes"] = static_cast<double>(book.bytes());
+    state.counters["bytes"] = static_cast<double>(book.memory_bytes());
 }
 BENCHMARK(totals)->Args({50, 1000})->Args({500, 1000})->Unit(benchmark::kMillisecond);
 
--- a/fuzz/datagram_fuzz.cpp
+++ b/fuzz/datagram_fuzz.cpp
@@ -17,26 +17,27 @@
     const auto frame = gossip::decode(bytes);
     if (!frame) return 0;
     gossip::NodeSettings settings;
-    settings.members = {.period = 1s, .timeout = 100ms, .forget_after = 60s, .max_members = 20};
-    settings.counts = true;
-    settings.limits = {.tenants = 20, .classes = 4, .lives = 10, .fold_after = 60s, .raises = 10};
-    settings.interval = 100ms;
+    settings.members = {.probe_period = 1s, .probe_timeout = 100ms, .forget_after = 60s, .max_members = 20};
+    settings.counts_enabled = true;
+    settings.limits = {
+        .max_tenants = 20, .max_classes = 4, .max_lives = 10, .fold_after = 60s, .max_fold_corrections = 10};
+    settings.exchange_interval = 100ms;
     settings.rate = settings.burst = 10;
     settings.bytes_per_second = 1'000'000;
-    settings.payload = gossip::largest_datagram - gossip::Sealer::overhead;
+    settings.max_frame_bytes = gossip::max_datagram_bytes - gossip::Sealer::overhead_bytes;
     gossip::Node node(settings, "self", 100, {0x7f000001, 1}, 1, 1000s);
-    node.book().count(node.book().series("t", "c"), willowrill::counts::Outcome::served);
+    node.count_store().count(node.count_store().series("t", "c"), willowrill::counts::Outcome::served);
     node.start(1000s);
     node.receive(1001s, {0x7f000001, 2}, *frame);
     node.tick(1002s);
     node.receive(1003s, {0x7f000001, 2}, *frame);
-    static_cast<void>(node.book().totals(1004s));
+    static_cast<void>(node.count_store().totals(1004s));
     // What it says next must be what others can read.
-    for (const gossip::Outgoing& out : node.sends()) {
+    for (const gossip::OutgoingFrame& out : node.take_sends()) {
         const gossip::Bytes said = gossip::encode(out.frame);
-        if (said.size() > settings.payload || !gossip::decode(said)) __builtin_trap();
+        if (said.size() > settings.max_frame_bytes || !gossip::decode(said)) __builtin_trap();
     }
-    if (node.book().low("t", "c", willowrill::counts::Outcome::served) < 1) __builtin_trap();
-    if (node.book().lives() > 10 || node.members().others().size() > 20) __builtin_trap();
+    if (node.count_store().low_total("t", "c", willowrill::counts::Outcome::served) < 1) __builtin_trap();
+    if (node.count_store().life_count() > 10 || node.members().others().size() > 20) __builtin_trap();
     return 0;
 }
--- a/fuzz/seeds.cpp
+++ b/fuzz/seeds.cpp
@@ -33,18 +33,19 @@
     const std::vector<std::pair<std::string, gossip::Body>> bodies{
         {"ping",
          willowrill::swim::Message{
-             .kind = willowrill::swim::Kind::ping,
+             .kind = willowrill::swim::MessageKind::ping,
              .sequence = 1,
              .life = 100,
-             .news = {{{"other", 50}, {0x7f000001, 2}, willowrill::swim::State::suspect, 3}}}},
-        {"sync", willowrill::swim::Message{.kind = willowrill::swim::Kind::sync_request, .sequence = 2}},
-        {"asked", willowrill::swim::Message{.kind = willowrill::swim::Kind::ping_request,
+             .updates = {{{"other", 50}, {0x7f000001, 2}, willowrill::swim::State::suspect, 3}}}},
+        {"sync",
+         willowrill::swim::Message{.kind = willowrill::swim::MessageKind::sync_request, .sequence = 2}},
+        {"asked", willowrill::swim::Message{.kind = willowrill::swim::MessageKind::ping_request,
                                             .sequence = 3,
                                             .life = 50,
                                             .subject = {0x7f000001, 2}}},
         {"digest", counts::Digest{.keys = {1, 2}, .versions = {3, 4}, .as_of = {1000s, 0s}}},
-        {"raise", counts::Digest{.raises = {{1, 2, {"t", "c"}, counts::Outcome::left}}}},
-        {"wants", gossip::Wants{{counts::Identity{"self", 100, 0, 0}.key(), 0, true}, {1, 2, false}}},
+        {"raise", counts::Digest{.fold_corrections = {{1, 2, {"t", "c"}, counts::Outcome::client_left}}}},
+        {"wants", gossip::DeltaRequest{{counts::Identity{"self", 100, 0, 0}.key(), 0, true}, {1, 2, false}}},
         {"delta", delta}};
     for (const auto& [name, body] : bodies)
         write(std::string(folder).append("/datagram/").append(name),
--- a/fuzz/snapshot_fuzz.cpp
+++ b/fuzz/snapshot_fuzz.cpp
@@ -20,11 +20,13 @@
         __builtin_trap();
     const auto snapshot = willowrill::gossip::decode_snapshot(bytes);
     if (!snapshot) return 0;
-    counts::Book book({.tenants = 20, .classes = 4, .lives = 10, .raises = 10}, {"self", 100, 1, 1}, 1000s);
+    counts::CountStore book(
+        {.max_tenants = 20, .max_classes = 4, .max_lives = 10, .max_fold_corrections = 10},
+        {"self", 100, 1, 1}, 1000s);
     book.count(book.series("t", "c"), counts::Outcome::served);
     for (const counts::Delta& delta : snapshot->deltas)
         book.load(delta, 1001s);
     book.fold(1002s, false);
-    if (book.low("t", "c", counts::Outcome::served) < 1 || book.lives() > 11) __builtin_trap();
+    if (book.low_total("t", "c", counts::Outcome::served) < 1 || book.life_count() > 11) __builtin_trap();
     return 0;
 }
--- a/src/lab/counts_experiment.cpp
+++ b/src/lab/counts_experiment.cpp
@@ -41,7 +41,7 @@
 
 struct Mark { // a moment: what each life had stated, and who does not know all of it yet
     Time at{0};
-    std::vector<counts::Want> versions;
+    std::vector<counts::KnownVersion> versions;
     std::vector<std::size_t> waiting;
 };
 
@@ -141,10 +141,10 @@
     options.link = {
         .loss = one.loss, .delay_least = span(one.delay_least_ms), .delay_most = span(one.delay_most_ms)};
     options.node.members = {
-        .period = 1s, .timeout = 300ms, .forget_after = 24h, .max_members = one.instances + 10};
-    options.node.counts = true;
-    options.node.limits = {.tenants = one.tenants + 1, .lives = one.instances + 10, .fold_after = 1h};
-    options.node.interval = span(one.interval_ms);
+        .probe_period = 1s, .probe_timeout = 300ms, .forget_after = 24h, .max_members = one.instances + 10};
+    options.node.counts_enabled = true;
+    options.node.limits = {.max_tenants = one.tenants + 1, .max_lives = one.instances + 10, .fold_after = 1h};
+    options.node.exchange_interval = span(one.interval_ms);
     options.node.rate = options.node.burst = 10'000;
     options.node.bytes_per_second = 1'000'000'000; // the bytes are to be seen, not bounded
     options.decode = one.instances <= 50; // of the largest fleets, frames are encoded for their size alone
@@ -156,7 +156,7 @@
     world.run_until_done(
         [&] {
             for (std::size_t i = 0; i < one.instances; ++i)
-                if (world.node(i).book().lives() < one.instances) return false;
+                if (world.node(i).count_store().life_count() < one.instances) return false;
             return true;
         },
         500ms, 300s);
@@ -174,13 +174,13 @@
     const auto applied = [&] {
         std::uint64_t out = 0;
         for (std::size_t i = 0; i < one.instances; ++i)
-            out += world.node(i).book().statistics().cells_applied;
+            out += world.node(i).count_store().statistics().cells_applied;
         return out;
     };
     const auto stated = [&] { // changes, by all lives: each is to be heard by all others
         std::uint64_t out = 0;
         for (std::size_t i = 0; i < one.instances; ++i)
-            out += world.node(i).book().version();
+            out += world.node(i).count_store().version();
         return out;
     };
     const Time warm_end = world.now() + span(one.seconds * 1000);
@@ -207,12 +207,12 @@
         if (counting && world.now() >= next_mark) {
             Mark mark{.at = world.now(), .versions = {}, .waiting = {}};
             for (std::size_t i = 0; i < one.instances; ++i) {
-                counts::Book& book = world.node(i).book();
-                book.seal(world.now());
+                counts::CountStore& book = world.node(i).count_store();
+                book.publish(world.now());
                 mark.versions.push_back({book.self().key(), book.version(), false});
                 mark.waiting.push_back(i);
             }
-            std::ranges::sort(mark.versions, {}, &counts::Want::key);
+            std::ranges::sort(mark.versions, {}, &counts::KnownVersion::key);
             marks.push_back(std::move(mark));
             next_mark += 1s;
             progress("measuring");
@@ -220,7 +220,7 @@
         world.run_for(look);
         for (Mark& mark : marks) {
             std::erase_if(mark.waiting, [&](std::size_t i) {
-                if (!world.node(i).book().knows(mark.versions)) return false;
+                if (!world.node(i).count_store().has_versions(mark.versions)) return false;
                 times.add(in_ms(world.now() - mark.at));
                 return true;
             });
@@ -238,7 +238,7 @@
     const double n = static_cast<double>(one.instances);
     double memory = 0;
     for (std::size_t i = 0; i < one.instances; ++i)
-        memory += static_cast<double>(world.node(i).book().bytes());
+        memory += static_cast<double>(world.node(i).count_store().memory_bytes());
     const double updates = static_cast<double>(std::max<std::uint64_t>(end_cells - cells, 1));
     std::vector<CountsResult> out{
         {.way = "ours",
@@ -249,9 +249,9 @@
          .cpu_us_per_update = std::chrono::duration<double, std::micro>(end_busy - busy).count() / updates}};
     double state_bytes = 0;
     for (const counts::Delta& delta :
-         world.node(0).book().save(gossip::largest_datagram - gossip::Sealer::overhead))
+         world.node(0).count_store().save(gossip::max_datagram_bytes - gossip::Sealer::overhead_bytes))
         state_bytes += static_cast<double>(gossip::encode(gossip::Frame{1, 2, 3s, delta}).size() +
-                                           gossip::Sealer::overhead);
+                                           gossip::Sealer::overhead_bytes);
     progress("the simple ways");
     out.push_back(push_all(one, state_bytes));
     out.push_back(push_one(one, state_bytes));
@@ -259,7 +259,7 @@
                    .agree_p50_ms = (one.delay_least_ms + one.delay_most_ms) / 2,
                    .agree_p99_ms = one.delay_most_ms,
                    .bytes_per_second = static_cast<double>(end_versions - versions) / one.seconds *
-                                       static_cast<double>(counts::cost::cell) * (n - 1) / n});
+                                       static_cast<double>(counts::max_encoded_bytes::cell) * (n - 1) / n});
     return out;
 }
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -17,8 +17,8 @@
 } // namespace
 
 World::World(Options options) : options_(std::move(options)), random_(options_.seed), now_(1'700'000'000s) {
-    if (options_.node.payload == 0)
-        options_.node.payload = gossip::largest_datagram - gossip::Sealer::overhead;
+    if (options_.node.max_frame_bytes == 0)
+        options_.node.max_frame_bytes = gossip::max_datagram_bytes - gossip::Sealer::overhead_bytes;
     options_.node.members.seeds = {{first_host, first_port}};
 }
 
@@ -45,7 +45,7 @@
     ++one.starts;
     if (known)
         for (const counts::Delta& delta : one.saved->deltas)
-            one.node->book().load(delta, now_of(at));
+            one.node->count_store().load(delta, now_of(at));
     one.node->start(now_of(at));
     flush(at);
 }
@@ -54,8 +54,8 @@
 void World::restart(std::size_t at, bool with_state) { start(at, with_state); }
 
 void World::save(std::size_t at) {
-    counts::Book& book = node(at).book();
-    book.seal(now_of(at));
+    counts::CountStore& book = node(at).count_store();
+    book.publish(now_of(at));
     instances_[at].saved = {book.self().instance, book.self().number, now_of(at), book.save(1U << 16U)};
 }
 
@@ -87,16 +87,16 @@
 }
 
 void World::flush(std::size_t at) {
-    for (gossip::Outgoing& out : instances_[at].node->sends()) {
+    for (gossip::OutgoingFrame& out : instances_[at].node->take_sends()) {
         const auto to = find(out.to);
         const gossip::Bytes bytes = gossip::encode(out.frame);
         Traffic& mine = instances_[at].traffic;
         for (Traffic* one : {&traffic_, &mine}) {
             ++one->datagrams;
-            one->bytes += bytes.size() + gossip::Sealer::overhead;
+            one->bytes += bytes.size() + gossip::Sealer::overhead_bytes;
         }
         if (!to || cuts_[at][*to] || chance(options_.link.loss) ||
-            bytes.size() + gossip::Sealer::overhead > gossip::largest_datagram) {
+            bytes.size() + gossip::Sealer::overhead_bytes > gossip::max_datagram_bytes) {
             ++traffic_.lost;
             ++mine.lost;
             continue;
@@ -118,7 +118,7 @@
                           static_cast<std::uint32_t>(at), instances_[*to].starts, frame});
         }
     }
-    instances_[at].node->changes();
+    instances_[at].node->take_changes();
     schedule(at);
 }
 
@@ -126,7 +126,7 @@
 // unheeded.
 void World::schedule(std::size_t at) {
     Instance& one = instances_[at];
-    const Time due = std::max(one.node->next() - one.ahead, now_ + 1us);
+    const Time due = std::max(one.node->next_tick() - one.ahead, now_ + 1us);
     if (one.tick_at == due) return;
     one.tick_at = due;
     events_.push({due, ++order_, static_cast<std::uint32_t>(at), 0, one.starts, nullptr});
@@ -164,12 +164,13 @@
 
 void World::count(std::size_t at, std::uint32_t tenant, counts::Outcome outcome, std::uint64_t times) {
     Instance& one = instances_[at];
-    constexpr counts::Series none = ~counts::Series{0};
+    constexpr counts::SeriesIndex none = ~counts::SeriesIndex{0};
     if (one.series.size() <= tenant) one.series.resize(tenant + 1, none);
     if (truth_.size() <= tenant) truth_.resize(tenant + 1, 0);
-    if (one.series[tenant] == none) one.series[tenant] = one.node->book().series(tenant_name(tenant), "jobs");
+    if (one.series[tenant] == none)
+        one.series[tenant] = one.node->count_store().series(tenant_name(tenant), "jobs");
     for (std::uint64_t i = 0; i < times; ++i)
-        one.node->book().count(one.series[tenant], outcome);
+        one.node->count_store().count(one.series[tenant], outcome);
     truth_[tenant] += times;
 }
 
@@ -179,7 +180,8 @@
     const counts::Digest* first = nullptr;
     std::vector<counts::Digest> digests;
     for (const Instance& one : instances_)
-        if (one.node) digests.push_back(std::move(one.node->book().digest(~std::size_t{0}).front()));
+        if (one.node)
+            digests.push_back(std::move(one.node->count_store().make_digests(~std::size_t{0}).front()));
     for (const counts::Digest& digest : digests) {
         if (first == nullptr) first = &digest;
         if (digest.keys != first->keys || digest.versions != first->versions) return false;
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -81,7 +81,7 @@
         std::string name{};
         swim::Address address{};
         std::unique_ptr<gossip::Node> node{};
-        std::vector<counts::Series> series{}; // by tenant; made when first counted
+        std::vector<counts::SeriesIndex> series{}; // by tenant; made when first counted
         std::uint64_t last_number = 0;
         std::uint64_t starts = 0;
         std::optional<gossip::Snapshot> saved{};
--- a/src/scheduler/counts/book.cpp
+++ b/src/scheduler/counts/book.cpp
@@ -10,21 +10,21 @@
 
 namespace willowrill::counts {
 
-struct Book::News {
+struct CountStore::News {
     std::span<const CellNews> cells;
     std::span<const SeriesNews> series;
     std::span<const Mark> marks;
 };
 
-Book::Book(Limits limits, Identity self, Time now) : limits_(limits) {
-    limits_.lives = std::max<std::size_t>(limits_.lives, 2);
+CountStore::CountStore(Limits limits, Identity self, Time now) : limits_(limits) {
+    limits_.max_lives = std::max<std::size_t>(limits_.max_lives, 2);
     own_ = add_life(std::move(self));
-    seal(now);
+    publish(now);
 }
 
 // ---------------------------------------------------------------------------------------------- counting
 
-std::uint32_t Book::intern(std::string_view tenant, std::string_view job_class) {
+std::uint32_t CountStore::intern(std::string_view tenant, std::string_view job_class) {
     const auto within = [&](auto& seen, std::string_view name, std::size_t most, std::string_view other) {
         std::string text(name);
         if (seen.contains(text)) return text;
@@ -35,34 +35,34 @@
         seen.insert(text);
         return text;
     };
-    const std::string tenant_name = within(tenants_, tenant, limits_.tenants, other_tenant);
-    const std::string class_name = within(classes_, job_class, limits_.classes, other_class);
+    const std::string tenant_name = within(tenants_, tenant, limits_.max_tenants, other_tenant);
+    const std::string class_name = within(classes_, job_class, limits_.max_classes, other_class);
     const std::string whole = tenant_name + '\0' + class_name;
     const auto [at, is_new] = globals_.emplace(whole, static_cast<std::uint32_t>(names_.size()));
     if (is_new) names_.push_back({tenant_name, class_name});
     return at->second;
 }
 
-Series Book::series(std::string_view tenant, std::string_view job_class) {
+SeriesIndex CountStore::series(std::string_view tenant, std::string_view job_class) {
     const std::uint32_t global = intern(tenant, job_class);
     Life& own = lives_[own_];
     if (const auto known = own.series_of(global)) return *known;
     return own.add_series(global);
 }
 
-void Book::seal(Time now) {
+void CountStore::publish(Time now) {
     sealed_at_ = std::max(now, sealed_at_);
-    if (!lives_[own_].seal(sealed_at_)) ++statistics_.over_rate;
+    if (!lives_[own_].publish(sealed_at_)) ++statistics_.over_rate;
 }
 
-void Book::end(Time now) {
+void CountStore::end(Time now) {
     lives_[own_].state(MarkKind::ended);
-    seal(now);
+    publish(now);
 }
 
 // ---------------------------------------------------------------------------------------------- exchange
 
-std::vector<Digest> Book::digest(std::size_t most_entries) const {
+std::vector<Digest> CountStore::make_digests(std::size_t most_entries) const {
     std::vector<Digest> out;
     Digest part;
     for (const auto& [key, index] : by_key_) {
@@ -81,15 +81,17 @@
     auto raise = raises_.begin(); // few, if any: they go with the first part
     for (std::size_t i = 0; i < 16 && raise != raises_.end(); ++i, ++raise)
         (out.empty() ? part : out.front())
-            .raises.push_back({raise->first.first, raise->second, names_[raise->first.second / outcomes],
-                               static_cast<Outcome>(raise->first.second % outcomes)});
+            .fold_corrections.push_back({raise->first.first, raise->second,
+                                         names_[raise->first.second / outcome_count],
+                                         static_cast<Outcome>(raise->first.second % outcome_count)});
     out.push_back(std::move(part));
     return out;
 }
 
-std::vector<Want> Book::answer(const Digest& digest, std::vector<Want>& lacking, Time now) {
+std::vector<KnownVersion> CountStore::process_digest(const Digest& digest, std::vector<KnownVersion>& lacking,
+                                                     Time now) {
     const std::size_t count = std::min({digest.keys.size(), digest.versions.size(), digest.as_of.size()});
-    std::vector<Want> theirs; // what the other side has too little of
+    std::vector<KnownVersion> theirs; // what the other side has too little of
     auto mine = by_key_.lower_bound(digest.first);
     const auto more = [&](std::uint64_t before) {
         for (; mine != by_key_.end() && mine->first < before; ++mine)
@@ -117,31 +119,31 @@
     }
     for (; mine != by_key_.end() && mine->first <= digest.last; ++mine)
         theirs.push_back({mine->first, 0, true});
-    for (const Raise& raise : digest.raises)
+    for (const Raise& raise : digest.fold_corrections)
         take_raise(raise);
     return theirs;
 }
 
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
-std::vector<Delta> Book::deltas(const std::vector<Want>& wants, std::size_t max_bytes,
-                                std::size_t most) const {
+std::vector<Delta> CountStore::make_deltas(const std::vector<KnownVersion>& wants, std::size_t max_bytes,
+                                           std::size_t most) const {
     std::vector<Delta> out;
     Delta part;
-    std::size_t size = cost::message;
-    for (const Want& want : wants) {
+    std::size_t size = max_encoded_bytes::message;
+    for (const KnownVersion& want : wants) {
         const auto found = by_key_.find(want.key);
         if (found == by_key_.end()) continue;
         const Life& life = lives_[found->second];
         std::uint64_t from = want.version;
         bool introduced = !want.unknown;
         while (from < life.version() || !introduced) {
-            std::size_t head = cost::section;
-            if (!introduced) head += cost::introduction + life.identity().instance.size();
+            std::size_t head = max_encoded_bytes::section;
+            if (!introduced) head += max_encoded_bytes::introduction + life.identity().instance.size();
             constexpr std::size_t least =
                 256; // a section with less room than that waits for the next message
-            if (size + head + least > max_bytes && size > cost::message) {
+            if (size + head + least > max_bytes && size > max_encoded_bytes::message) {
                 out.push_back(std::exchange(part, {}));
-                size = cost::message;
+                size = max_encoded_bytes::message;
                 if (out.size() == most) return out;
             }
             if (!std::exchange(introduced, true)) part.introductions.push_back({life.identity()});
@@ -152,9 +154,9 @@
             life.changed_since(from, [&](const Life::Change& change) {
                 const Name* name =
                     change.kind == Life::Kind::series ? &names_[life.global(change.index)] : nullptr;
-                const std::size_t takes = name != nullptr
-                                              ? cost::series + name->tenant.size() + name->job_class.size()
-                                              : cost::cell;
+                const std::size_t takes =
+                    name != nullptr ? max_encoded_bytes::series + name->tenant.size() + name->job_class.size()
+                                    : max_encoded_bytes::cell;
                 const std::uint64_t after = change.version - from;
                 if (size + takes > max_bytes || after > 0xffffffffU) {
                     cut = true;
@@ -188,13 +190,13 @@
     return out;
 }
 
-Life* Book::find(std::uint64_t key) {
+Life* CountStore::find(std::uint64_t key) {
     const auto found = by_key_.find(key);
     return found == by_key_.end() ? nullptr : &lives_[found->second];
 }
 
 // References to lives do not outlive it.
-Book::LifeIndex Book::add_life(Identity identity) {
+CountStore::LifeIndex CountStore::add_life(Identity identity) {
     if (free_.empty()) {
         free_.push_back(static_cast<LifeIndex>(lives_.size()));
         lives_.emplace_back(Identity{}, 0);
@@ -208,7 +210,7 @@
     return index;
 }
 
-Life* Book::introduce(const Introduction& introduction) {
+Life* CountStore::introduce(const Introduction& introduction) {
     const Identity& identity = introduction.identity;
     const std::uint64_t key = identity.key();
     if (Life* known = find(key)) return known;
@@ -222,7 +224,7 @@
         ++statistics_.folded_returned; // what it brings is counted already; its bearer will let go of it too
         return nullptr;
     }
-    if (by_key_.size() >= limits_.lives) {
+    if (by_key_.size() >= limits_.max_lives) {
         ++statistics_.over_limit;
         return nullptr;
     }
@@ -231,7 +233,7 @@
     return &lives_[index];
 }
 
-void Book::apply(const Delta& delta, Time now) {
+void CountStore::apply(const Delta& delta, Time now) {
     std::size_t cells = 0, series = 0, marks = 0;
     for (const Section& section : delta.sections) {
         cells += section.cells;
@@ -265,7 +267,7 @@
 
 // The changes of one section, all or none. The three lists are merged by their versions.
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
-bool Book::apply(const News& news, const Section& section, Life& life, Time now) {
+bool CountStore::apply(const News& news, const Section& section, Life& life, Time now) {
     if (section.to < section.from || section.from > life.version()) {
         ++(section.to < section.from ? statistics_.sections_bad : statistics_.sections_gap);
         return false;
@@ -299,7 +301,7 @@
         }
         return true;
     };
-    const std::size_t most_series = (limits_.tenants + 1) * (limits_.classes + 1);
+    const std::size_t most_series = (limits_.max_tenants + 1) * (limits_.max_classes + 1);
     const bool good = walk([&](const Step& step) {
         if (step.kind == Life::Kind::series && step.version > life.version()) {
             const Name& one = news.series[name].name;
@@ -347,7 +349,7 @@
 
 // ------------------------------------------------------------------------------------------------ lives
 
-void Book::fold(Time now, bool someone_away) {
+void CountStore::fold(Time now, bool someone_away) {
     if (someone_away) return;
     Chain& chain = chains_[self().instance];
     std::uint64_t last = 0;
@@ -360,11 +362,12 @@
     Life& own = lives_[own_];
     own.state(MarkKind::cover, last);
     for (std::uint32_t global = 0; global < names_.size(); ++global) {
-        const auto* values = &sums[global * outcomes];
-        if (std::all_of(values, values + outcomes, [](std::uint64_t value) { return value == 0; })) continue;
+        const auto* values = &sums[global * outcome_count];
+        if (std::all_of(values, values + outcome_count, [](std::uint64_t value) { return value == 0; }))
+            continue;
         const auto known = own.series_of(global);
-        const Series series = known ? *known : own.add_series(global);
-        for (std::size_t o = 0; o < outcomes; ++o)
+        const SeriesIndex series = known ? *known : own.add_series(global);
+        for (std::size_t o = 0; o < outcome_count; ++o)
             if (values[o] > 0) own.raise(slot_of(series, static_cast<Outcome>(o), true), values[o]);
     }
     own.state(MarkKind::folded, last);
@@ -372,26 +375,26 @@
     drop_folded(std::string(self().instance), now);
 }
 
-void Book::begin_life(std::uint64_t number, Time now) {
+void CountStore::begin_life(std::uint64_t number, Time now) {
     Identity identity = self();
     if (number <= identity.number) return;
     identity.number = number;
     Life& old = lives_[own_];
     old.state(MarkKind::ended);
-    old.seal(now);
+    old.publish(now);
     std::vector<std::uint32_t> globals;
-    for (Series series = 0; series < old.series_count(); ++series)
+    for (SeriesIndex series = 0; series < old.series_count(); ++series)
         globals.push_back(old.global(series));
     own_ = add_life(std::move(identity));
     for (const std::uint32_t global : globals) // in the same order: what callers hold goes on to be right
         lives_[own_].add_series(global);
     ++statistics_.lives_begun;
-    seal(now);
+    publish(now);
 }
 
 // Lets go of what is folded. Nothing that was counted may be lost by it: where the lives here come to more
 // than the folding life says, that is told on as a raise.
-void Book::drop_folded(const std::string& instance, Time now) {
+void CountStore::drop_folded(const std::string& instance, Time now) {
     Chain& chain = chains_[instance];
     const Life* by = nullptr;
     for (const auto& [number, index] : chain.lives)
@@ -411,12 +414,12 @@
     std::vector<std::size_t> more;
     for (std::size_t i = 0; i < here.size(); ++i)
         if (here[i] > stated[i]) more.push_back(i);
-    if (raises_.size() + more.size() > limits_.raises) {
+    if (raises_.size() + more.size() > limits_.max_fold_corrections) {
         ++statistics_.over_limit; // the lives stay, then: nothing is lost
         return;
     }
     for (const std::size_t i : more)
-        take_raise({key, here[i], names_[i / outcomes], static_cast<Outcome>(i % outcomes)});
+        take_raise({key, here[i], names_[i / outcome_count], static_cast<Outcome>(i % outcome_count)});
     for (auto at = chain.lives.begin(); at != chain.lives.end() && at->first <= last;
          at = chain.lives.erase(at)) {
         by_key_.erase(lives_[at->second].key());
@@ -426,9 +429,9 @@
     chain.gone = last;
 }
 
-void Book::take_raise(const Raise& raise) {
+void CountStore::take_raise(const Raise& raise) {
     Life* life = find(raise.key);
-    if (life == nullptr || !life->covers() || static_cast<std::size_t>(raise.outcome) >= outcomes ||
+    if (life == nullptr || !life->covers() || static_cast<std::size_t>(raise.outcome) >= outcome_count ||
         raise.value > largest_cell || raise.name.tenant.empty() || raise.name.job_class.empty())
         return;
     const std::uint32_t global = intern(raise.name.tenant, raise.name.job_class);
@@ -439,8 +442,8 @@
         ++statistics_.raised;
         return;
     }
-    const auto key = std::pair{raise.key, global * outcomes + static_cast<std::size_t>(raise.outcome)};
-    if (!raises_.contains(key) && raises_.size() >= limits_.raises) {
+    const auto key = std::pair{raise.key, global * outcome_count + static_cast<std::size_t>(raise.outcome)};
+    if (!raises_.contains(key) && raises_.size() >= limits_.max_fold_corrections) {
         ++statistics_.over_limit;
         return;
     }
@@ -448,11 +451,11 @@
     value = std::max(value, raise.value);
 }
 
-void Book::settle_raises(const Life& life) {
+void CountStore::settle_raises(const Life& life) {
     auto at = raises_.lower_bound({life.key(), 0});
     while (at != raises_.end() && at->first.first == life.key()) {
-        const auto series = life.series_of(static_cast<std::uint32_t>(at->first.second / outcomes));
-        const auto outcome = static_cast<Outcome>(at->first.second % outcomes);
+        const auto series = life.series_of(static_cast<std::uint32_t>(at->first.second / outcome_count));
+        const auto outcome = static_cast<Outcome>(at->first.second % outcome_count);
         const bool settled = series && life.value(slot_of(*series, outcome, true)) >= at->second;
         at = settled ? raises_.erase(at) : std::next(at);
     }
@@ -461,10 +464,10 @@
 // ---------------------------------------------------------------------------------------------- reading
 
 // What a life states of those folded into it, raised by what is known to be more; larger values stay.
-void Book::add_folded(const Life& life, std::vector<std::uint64_t>& into) const {
-    for (Series series = 0; series < life.series_count(); ++series) {
-        for (std::size_t o = 0; o < outcomes; ++o) {
-            std::uint64_t& value = into[life.global(series) * outcomes + o];
+void CountStore::add_folded(const Life& life, std::vector<std::uint64_t>& into) const {
+    for (SeriesIndex series = 0; series < life.series_count(); ++series) {
+        for (std::size_t o = 0; o < outcome_count; ++o) {
+            std::uint64_t& value = into[life.global(series) * outcome_count + o];
             value = std::max(value, life.value(slot_of(series, static_cast<Outcome>(o), true)));
         }
     }
@@ -474,8 +477,8 @@
 // sum, and the larger of two lower bounds is one: nothing is counted twice, whatever is folded where, and
 // however much of it has arrived.
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
-std::vector<std::uint64_t> Book::chain_sums(const Chain& chain, std::uint64_t last) const {
-    std::vector<std::uint64_t> sums(names_.size() * outcomes, 0);
+std::vector<std::uint64_t> CountStore::chain_sums(const Chain& chain, std::uint64_t last) const {
+    std::vector<std::uint64_t> sums(names_.size() * outcome_count, 0);
     struct Bound {
         std::uint64_t number; // holds for lives up to here
         std::size_t at;
@@ -485,12 +488,12 @@
     for (const auto& [number, index] : chain.lives) {
         const Life& life = lives_[index];
         if (!life.covers()) continue;
-        for (Series series = 0; series < life.series_count(); ++series) {
-            for (std::size_t o = 0; o < outcomes; ++o) {
+        for (SeriesIndex series = 0; series < life.series_count(); ++series) {
+            for (std::size_t o = 0; o < outcome_count; ++o) {
                 const Life::Value cell = life.at(slot_of(series, static_cast<Outcome>(o), true));
                 if (cell.value > 0)
                     bounds.push_back(
-                        {life.cover_of(cell.version), life.global(series) * outcomes + o, cell.value});
+                        {life.cover_of(cell.version), life.global(series) * outcome_count + o, cell.value});
             }
         }
         for (auto raise = raises_.lower_bound({life.key(), 0});
@@ -507,17 +510,17 @@
         if (number > last) break;
         hold_up_to(number - 1);
         const Life& life = lives_[index];
-        for (Series series = 0; series < life.series_count(); ++series)
-            for (std::size_t o = 0; o < outcomes; ++o)
-                sums[life.global(series) * outcomes + o] +=
+        for (SeriesIndex series = 0; series < life.series_count(); ++series)
+            for (std::size_t o = 0; o < outcome_count; ++o)
+                sums[life.global(series) * outcome_count + o] +=
                     life.value(slot_of(series, static_cast<Outcome>(o)));
     }
     hold_up_to(last);
     return sums;
 }
 
-std::vector<std::uint64_t> Book::fleet_sums() const {
-    std::vector<std::uint64_t> out(names_.size() * outcomes, 0);
+std::vector<std::uint64_t> CountStore::fleet_sums() const {
+    std::vector<std::uint64_t> out(names_.size() * outcome_count, 0);
     for (const auto& [instance, chain] : chains_) {
         const bool one = chain.lives.size() == 1 && !lives_[chain.lives.begin()->second].covers();
         if (!one) {
@@ -527,24 +530,24 @@
             continue;
         }
         const Life& life = lives_[chain.lives.begin()->second]; // the usual case, without a list of its own
-        for (Series series = 0; series < life.series_count(); ++series)
-            for (std::size_t o = 0; o < outcomes; ++o)
-                out[life.global(series) * outcomes + o] +=
+        for (SeriesIndex series = 0; series < life.series_count(); ++series)
+            for (std::size_t o = 0; o < outcome_count; ++o)
+                out[life.global(series) * outcome_count + o] +=
                     life.value(slot_of(series, static_cast<Outcome>(o)));
     }
     return out;
 }
 
 // How long ago the life stated what is known, by its own clock set right as far as it was seen to be ahead.
-Duration Book::age(const Life& life, Time now) const {
+Duration CountStore::age(const Life& life, Time now) const {
     return std::max(now - life.as_of() + life.ahead(), Duration(0));
 }
 
-bool Book::may_count(const Life& life, Time now) const {
+bool CountStore::may_count(const Life& life, Time now) const {
     return &life != &lives_[own_] && !life.ended() && age(life, now) < limits_.fold_after;
 }
 
-Totals Book::bounds(Time now) const {
+Totals CountStore::totals_summary(Time now) const {
     Totals out;
     out.instances = chains_.size();
     for (const auto& [key, index] : by_key_) {
@@ -563,8 +566,8 @@
     return out;
 }
 
-Totals Book::totals(Time now) const {
-    Totals out = bounds(now);
+Totals CountStore::totals(Time now) const {
+    Totals out = totals_summary(now);
     const std::vector<std::uint64_t> sums = fleet_sums();
     for (std::size_t i = 0; i < sums.size(); ++i) {
         if (sums[i] == 0) continue;
@@ -572,8 +575,8 @@
         const double share =
             static_cast<double>(sums[i]) / static_cast<double>(std::max(out.counted, sums[i]));
         const auto more = std::min(static_cast<std::uint64_t>(share * out.expected), out.slack);
-        const Name& name = names_[i / outcomes];
-        out.rows.push_back({name.tenant, name.job_class, static_cast<Outcome>(i % outcomes), sums[i],
+        const Name& name = names_[i / outcome_count];
+        out.rows.push_back({name.tenant, name.job_class, static_cast<Outcome>(i % outcome_count), sums[i],
                             sums[i] + more, sums[i] + out.slack});
     }
     std::ranges::sort(out.rows, {}, [](const Total& total) {
@@ -582,16 +585,17 @@
     return out;
 }
 
-std::uint64_t Book::low(std::string_view tenant, std::string_view job_class, Outcome outcome) const {
+std::uint64_t CountStore::low_total(std::string_view tenant, std::string_view job_class,
+                                    Outcome outcome) const {
     const auto global = globals_.find(std::string(tenant) + '\0' + std::string(job_class));
     return global == globals_.end()
                ? 0
-               : fleet_sums()[global->second * outcomes + static_cast<std::size_t>(outcome)];
+               : fleet_sums()[global->second * outcome_count + static_cast<std::size_t>(outcome)];
 }
 
-bool Book::knows(const std::vector<Want>& versions) const {
+bool CountStore::has_versions(const std::vector<KnownVersion>& versions) const {
     auto mine = by_key_.begin();
-    for (const Want& want : versions) {
+    for (const KnownVersion& want : versions) {
         while (mine != by_key_.end() && mine->first < want.key)
             ++mine;
         if (mine == by_key_.end() || mine->first != want.key || lives_[mine->second].version() < want.version)
@@ -600,32 +604,33 @@
     return true;
 }
 
-std::uint64_t Book::fingerprint() const {
+std::uint64_t CountStore::fingerprint() const {
     std::uint64_t out = 0; // a sum, as the order of the series differs from book to book
     const std::vector<std::uint64_t> sums = fleet_sums();
     for (std::size_t i = 0; i < sums.size(); ++i) {
         if (sums[i] == 0) continue;
-        const std::string text = names_[i / outcomes].tenant + '\0' + names_[i / outcomes].job_class;
-        out += XXH3_64bits_withSeed(text.data(), text.size(), sums[i] * outcomes + i % outcomes);
+        const std::string text =
+            names_[i / outcome_count].tenant + '\0' + names_[i / outcome_count].job_class;
+        out += XXH3_64bits_withSeed(text.data(), text.size(), sums[i] * outcome_count + i % outcome_count);
     }
     return out;
 }
 
-std::size_t Book::bytes() const {
+std::size_t CountStore::memory_bytes() const {
     std::size_t out = sizeof *this + by_key_.size() * 64 + raises_.size() * 80;
     for (const Life& life : lives_)
-        out += life.bytes();
+        out += life.memory_bytes();
     for (const Name& name : names_)
         out += 2 * (sizeof name + name.tenant.capacity() + name.job_class.capacity()) + 96;
     return out;
 }
 
-std::vector<Delta> Book::save(std::size_t max_bytes) const {
-    std::vector<Want> all;
+std::vector<Delta> CountStore::save(std::size_t max_bytes) const {
+    std::vector<KnownVersion> all;
     all.reserve(by_key_.size());
     for (const auto& [key, index] : by_key_)
         all.push_back({key, 0, true});
-    return deltas(all, max_bytes, ~std::size_t{0});
+    return make_deltas(all, max_bytes, ~std::size_t{0});
 }
 
 } // namespace willowrill::counts
--- a/src/scheduler/counts/book.h
+++ b/src/scheduler/counts/book.h
@@ -20,12 +20,12 @@
 
 // What bounds the state, whatever comes from outside.
 struct Limits {
-    std::size_t tenants = 1000; // further ones are counted together, as `other_tenant`
-    std::size_t classes = 64;   // further ones as `other_class`
-    std::size_t lives = 2000;   // further ones are not taken in
-    Duration max_skew{0};       // by which two clocks of the fleet may differ at most
-    Duration fold_after{0};     // a life not heard of for that long has ended
-    std::size_t raises = 1000;  // see `Digest::raises`
+    std::size_t max_tenants = 1000;          // further ones are counted together, as `other_tenant`
+    std::size_t max_classes = 64;            // further ones as `other_class`
+    std::size_t max_lives = 2000;            // further ones are not taken in
+    Duration max_skew{0};                    // by which two clocks of the fleet may differ at most
+    Duration fold_after{0};                  // a life not heard of for that long has ended
+    std::size_t max_fold_corrections = 1000; // see `Digest::raises`
 };
 
 inline constexpr std::string_view other_tenant = "(other)", other_class = "(other)";
@@ -60,23 +60,25 @@
     std::uint64_t lives_begun = 0; // lives that this instance began in service, see `begin_life`
 };
 
-class Book {
+class CountStore {
   public:
-    Book(Limits limits, Identity self, Time now);
+    CountStore(Limits limits, Identity self, Time now);
 
     // --- counting, on the serving path: no allocation once a series is known.
-    Series series(std::string_view tenant, std::string_view job_class);
-    void count(Series series, Outcome outcome) { lives_[own_].count(series, outcome); }
+    SeriesIndex series(std::string_view tenant, std::string_view job_class);
+    void count(SeriesIndex series, Outcome outcome) { lives_[own_].count(series, outcome); }
     // All that was counted is in what peers are told from now on; call it before `digest` and `save`.
-    void seal(Time now);
+    void publish(Time now);
     void end(Time now); // this life counts no more
 
     // --- exchange: A's digest, B's answer (what A lacks, and what B wants), A's deltas for what B wants.
-    std::vector<Digest> digest(std::size_t most_entries) const;
-    std::vector<Want> answer(const Digest& digest, std::vector<Want>& lacking, Time now);
+    std::vector<Digest> make_digests(std::size_t most_entries) const;
+    std::vector<KnownVersion> process_digest(const Digest& digest, std::vector<KnownVersion>& lacking,
+                                             Time now);
     // Sections for what the other side has according to `wants`, in messages of at most `max_bytes` as
     // `wire.h` costs them, at most `most` of them. What is left out is wanted again in the next exchange.
-    std::vector<Delta> deltas(const std::vector<Want>& wants, std::size_t max_bytes, std::size_t most) const;
+    std::vector<Delta> make_deltas(const std::vector<KnownVersion>& wants, std::size_t max_bytes,
+                                   std::size_t most) const;
     void apply(const Delta& delta, Time now);
 
     // --- lives
@@ -90,15 +92,16 @@
 
     // --- reading
     Totals totals(Time now) const;
-    Totals bounds(Time now) const; // the same without the rows, which take long to add up in a large fleet
-    std::uint64_t low(std::string_view tenant, std::string_view job_class, Outcome outcome) const;
+    Totals
+    totals_summary(Time now) const; // the same without the rows, which take long to add up in a large fleet
+    std::uint64_t low_total(std::string_view tenant, std::string_view job_class, Outcome outcome) const;
     const Identity& self() const { return lives_[own_].identity(); }
     const Statistics& statistics() const { return statistics_; }
-    std::size_t bytes() const; // of memory, about
-    std::size_t lives() const { return by_key_.size(); }
+    std::size_t memory_bytes() const; // of memory, about
+    std::size_t life_count() const { return by_key_.size(); }
     std::uint64_t version() const { return lives_[own_].version(); } // of what this instance has stated
     // Whether it knows each of these lives up to the version given; ascending by key.
-    bool knows(const std::vector<Want>& versions) const;
+    bool has_versions(const std::vector<KnownVersion>& versions) const;
     std::uint64_t fingerprint() const; // the same in two books that agree on every total
 
     // --- what survives a restart: everything, as deltas from nothing.
--- a/src/scheduler/counts/life.cpp
+++ b/src/scheduler/counts/life.cpp
@@ -14,17 +14,17 @@
 }
 
 std::uint32_t Life::place(Slot slot) {
-    const bool folded = slot % slots_per_series >= outcomes;
-    const std::size_t at = slot / slots_per_series * outcomes + slot % outcomes;
-    if (folded && folded_places_.size() <= at) folded_places_.resize(globals_.size() * outcomes, none);
+    const bool folded = slot % slots_per_series >= outcome_count;
+    const std::size_t at = slot / slots_per_series * outcome_count + slot % outcome_count;
+    if (folded && folded_places_.size() <= at) folded_places_.resize(globals_.size() * outcome_count, none);
     std::uint32_t& place = (folded ? folded_places_ : places_)[at];
     if (place == none) place = add(Kind::cell, slot, 0);
     return place;
 }
 
 std::uint32_t Life::find(Slot slot) const {
-    const auto& places = slot % slots_per_series >= outcomes ? folded_places_ : places_;
-    const std::size_t at = slot / slots_per_series * outcomes + slot % outcomes;
+    const auto& places = slot % slots_per_series >= outcome_count ? folded_places_ : places_;
+    const std::size_t at = slot / slots_per_series * outcome_count + slot % outcome_count;
     return at < places.size() ? places[at] : none;
 }
 
@@ -39,16 +39,16 @@
     entries_[entry.before].after = at;
 }
 
-Series Life::add_series(std::uint32_t global) {
+SeriesIndex Life::add_series(std::uint32_t global) {
     take_series(version_ + 1, global);
     ++version_;
     // Room for all that may be counted, so that counting does not allocate.
-    const std::size_t wanted = entries_.size() + globals_.size() * outcomes;
+    const std::size_t wanted = entries_.size() + globals_.size() * outcome_count;
     if (entries_.capacity() < wanted) entries_.reserve(2 * wanted);
-    return static_cast<Series>(globals_.size() - 1);
+    return static_cast<SeriesIndex>(globals_.size() - 1);
 }
 
-bool Life::seal(Time now) {
+bool Life::publish(Time now) {
     // A bucket: what may be counted since the last look is what was in it then and what has come in since.
     const double burst = static_cast<double>(identity_.burst);
     double allowed = burst;
@@ -80,14 +80,14 @@
 void Life::take_series(std::uint64_t version, std::uint32_t global) {
     add(Kind::series, static_cast<std::uint32_t>(globals_.size()), version);
     globals_.push_back(global);
-    places_.resize(globals_.size() * outcomes, none);
+    places_.resize(globals_.size() * outcome_count, none);
 }
 
 void Life::take_cell(std::uint64_t version, Slot slot, std::uint64_t value) {
     const std::uint32_t at = place(slot);
     Entry& entry = entries_[at];
     if (value > entry.value) {
-        if (slot % slots_per_series < outcomes) counted_ += value - entry.value;
+        if (slot % slots_per_series < outcome_count) counted_ += value - entry.value;
         entry.value = value;
     }
     touch(at, version);
@@ -135,13 +135,13 @@
     return {entry.value, entry.version};
 }
 
-std::optional<Series> Life::series_of(std::uint32_t global) const {
+std::optional<SeriesIndex> Life::series_of(std::uint32_t global) const {
     const auto found = std::ranges::find(globals_, global);
     if (found == globals_.end()) return std::nullopt;
-    return static_cast<Series>(found - globals_.begin());
+    return static_cast<SeriesIndex>(found - globals_.begin());
 }
 
-std::size_t Life::bytes() const {
+std::size_t Life::memory_bytes() const {
     return sizeof *this + identity_.instance.capacity() + entries_.capacity() * sizeof(Entry) +
            (places_.capacity() + folded_places_.capacity() + globals_.capacity()) * sizeof(std::uint32_t);
 }
--- a/src/scheduler/counts/life.h
+++ b/src/scheduler/counts/life.h
@@ -11,7 +11,7 @@
 
 namespace willowrill::counts {
 
-using Series = std::uint32_t; // a life's own numbering
+using SeriesIndex = std::uint32_t; // a life's own numbering
 
 class Life {
   public:
@@ -33,17 +33,17 @@
     std::uint64_t counted() const { return counted_; }  // the sum of its own cells
 
     // --- by the life itself
-    void count(Series series, Outcome outcome) {
-        std::uint32_t at = places_[series * outcomes + static_cast<std::size_t>(outcome)];
+    void count(SeriesIndex series, Outcome outcome) {
+        std::uint32_t at = places_[series * outcome_count + static_cast<std::size_t>(outcome)];
         if (at == none) at = place(slot_of(series, outcome));
         ++entries_[at].value;
         ++counted_;
         // Once in each interval: what was told must be told anew, what was not may still change.
         if (entries_[at].version <= sealed_) touch(at, ++version_);
     }
-    Series add_series(std::uint32_t global); // states it
+    SeriesIndex add_series(std::uint32_t global); // states it
     // False: it has counted more than it declares.
-    bool seal(Time now);
+    bool publish(Time now);
     void raise(Slot slot, std::uint64_t value); // of what is folded
     void state(MarkKind kind, std::uint64_t number = 0);
 
@@ -61,11 +61,11 @@
     Value at(Slot slot) const;
     std::uint64_t value(Slot slot) const { return at(slot).value; }
     std::size_t series_count() const { return globals_.size(); }
-    std::uint32_t global(Series series) const { return globals_[series]; }
-    std::optional<Series> series_of(std::uint32_t global) const;
+    std::uint32_t global(SeriesIndex series) const { return globals_[series]; }
+    std::optional<SeriesIndex> series_of(std::uint32_t global) const;
     // Calls for what changed behind `from`, ascending, until the visitor says false.
     template <class Visitor> void changed_since(std::uint64_t from, Visitor&& visitor) const;
-    std::size_t bytes() const;
+    std::size_t memory_bytes() const;
 
     enum class Kind : std::uint8_t { cell, series, mark };
     struct Change {
--- a/src/scheduler/counts/wire.h
+++ b/src/scheduler/counts/wire.h
@@ -12,8 +12,8 @@
 using Time = std::chrono::nanoseconds; // since the Unix epoch, by the clock of whoever states it
 
 // How a message ended, as its client saw it.
-enum class Outcome : std::uint8_t { served, refused, failed, left };
-inline constexpr std::size_t outcomes = 4;
+enum class Outcome : std::uint8_t { served, refused, failed, client_left };
+inline constexpr std::size_t outcome_count = 4;
 
 struct Name {
     std::string tenant{}, job_class{};
@@ -44,7 +44,7 @@
 using Slot = std::uint32_t;
 inline constexpr Slot slots_per_series = 8;
 constexpr Slot slot_of(std::uint32_t series, Outcome outcome, bool folded = false) {
-    return series * slots_per_series + (folded ? static_cast<Slot>(outcomes) : 0) +
+    return series * slots_per_series + (folded ? static_cast<Slot>(outcome_count) : 0) +
            static_cast<Slot>(outcome);
 }
 
@@ -103,17 +103,17 @@
     std::uint64_t first = 0, last = ~std::uint64_t{0};
     std::vector<std::uint64_t> keys{}, versions{};
     std::vector<Time> as_of{};
-    std::vector<Raise> raises{};
+    std::vector<Raise> fold_corrections{};
 };
 
 // The version of a life that somebody has; `unknown`: nothing at all, not even who it is.
-struct Want {
+struct KnownVersion {
     std::uint64_t key = 0, version = 0;
     bool unknown = false;
 };
 
 // What the parts of a delta cost in a datagram, in bytes; measured on the codec and checked by its tests.
-namespace cost {
+namespace max_encoded_bytes {
 inline constexpr std::size_t message = 96, section = 48, cell = 16, series = 44, mark = 16, introduction = 72;
 }
 
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -16,8 +16,9 @@
 using log::json_text;
 using prometheus::MetricType;
 
-constexpr counts::Series unknown = std::numeric_limits<counts::Series>::max();
-constexpr std::array<std::string_view, counts::outcomes> outcome_names{"served", "refused", "failed", "left"};
+constexpr counts::SeriesIndex unknown = std::numeric_limits<counts::SeriesIndex>::max();
+constexpr std::array<std::string_view, counts::outcome_count> outcome_names{"served", "refused", "failed",
+                                                                            "left"};
 
 std::string member_json(const swim::Member& member) {
     return "{\"name\":" + json_text(member.id.name) + ",\"life\":" + std::to_string(member.id.life) +
@@ -57,21 +58,22 @@
     if (!counts_) return;
     const std::size_t tenants = names_.tenants.size();
     const std::size_t column = tenant < tenants ? tenant : tenants;
-    counts::Series& series = series_[job_class * (tenants + 1) + column];
-    counts::Book& book = mesh_.node().book();
+    counts::SeriesIndex& series = series_[job_class * (tenants + 1) + column];
+    counts::CountStore& book = mesh_.node().count_store();
     if (series == unknown)
         series = book.series(column < tenants ? std::string_view(names_.tenants[column]) : no_tenant,
                              names_.classes[job_class]);
-    constexpr std::array<counts::Outcome, counts::outcomes> outcomes{
-        counts::Outcome::served, counts::Outcome::refused, counts::Outcome::failed, counts::Outcome::left};
+    constexpr std::array<counts::Outcome, counts::outcome_count> outcomes{
+        counts::Outcome::served, counts::Outcome::refused, counts::Outcome::failed,
+        counts::Outcome::client_left};
     book.count(series, outcomes.at(static_cast<std::size_t>(ending)));
 }
 
 std::string Fleet::counts_json() const {
     if (!counts_) return "";
-    const counts::Totals totals = mesh_.node().book().totals(loop_.now());
+    const counts::Totals totals = mesh_.node().count_store().totals(loop_.now());
     std::string out =
-        "{\"instance\":" + json_text(mesh_.node().book().self().instance) +
+        "{\"instance\":" + json_text(mesh_.node().count_store().self().instance) +
         ",\"instances\":" + std::to_string(totals.instances) + ",\"lives\":" + std::to_string(totals.lives) +
         ",\"age_ms\":" + std::to_string(std::chrono::ceil<std::chrono::milliseconds>(totals.age).count()) +
         ",\"slack\":" + std::to_string(totals.slack) + ",\"totals\":[";
@@ -97,10 +99,10 @@
 std::string Fleet::figures() const {
     Figures out;
     const gossip::MeshCounters& mesh = mesh_.counters();
-    for (std::size_t cause = 0; cause < gossip::causes; ++cause) {
+    for (std::size_t cause = 0; cause < gossip::drop_reason_count; ++cause) {
         out.add("mesh_dropped_datagrams_total", "Datagrams dropped unread or without effect, by cause.",
                 MetricType::Counter, number(mesh.dropped[cause]),
-                {{"cause", gossip::name_of(static_cast<gossip::Dropped>(cause))}});
+                {{"cause", gossip::name_of(static_cast<gossip::DropReason>(cause))}});
     }
     const auto counter = [&](const std::string& name, const std::string& help, std::uint64_t value) {
         out.add(name, help, MetricType::Counter, number(value));
@@ -130,14 +132,14 @@
             members.refuted);
     counter("members_conflicts_total", "News of two living instances with one name.", members.conflicts);
     if (!counts_) return out.text();
-    const counts::Book& book = node.book();
+    const counts::CountStore& book = node.count_store();
     const counts::Statistics& counts = book.statistics();
-    const counts::Totals totals = book.bounds(loop_.now());
+    const counts::Totals totals = book.totals_summary(loop_.now());
     gauge("counts_age_seconds", "Age of the oldest news of an instance that may still count.",
           std::chrono::duration<double>(totals.age).count());
     gauge("counts_slack_jobs", "By how much each total's high lies above its low.", number(totals.slack));
     gauge("counts_lives", "Lives of instances that are known and not folded.", number(totals.lives));
-    gauge("counts_memory_bytes", "Memory of the counts, about.", number(book.bytes()));
+    gauge("counts_memory_bytes", "Memory of the counts, about.", number(book.memory_bytes()));
     counter("counts_cells_applied_total", "Cells of others that were news.", counts.cells_applied);
     counter("counts_cells_known_total", "Cells of others that were known already.", counts.cells_known);
     for (const auto& [cause, value] :
--- a/src/scheduler/fleet/fleet.h
+++ b/src/scheduler/fleet/fleet.h
@@ -27,7 +27,7 @@
     std::string members_json() const;
     std::string figures() const; // in the Prometheus text format
 
-    void set(const operator_config::Site& site) { mesh_.set(site); }
+    void set(const operator_config::Site& site) { mesh_.update_settings(site); }
     void leave(std::function<void()> gone) { mesh_.leave(std::move(gone)); }
     gossip::Mesh& mesh() { return mesh_; }
 
@@ -36,7 +36,8 @@
     config::Names names_;
     bool counts_;
     gossip::Mesh mesh_;
-    std::vector<counts::Series> series_; // by class and tenant, the unknown one last; made when first counted
+    std::vector<counts::SeriesIndex>
+        series_; // by class and tenant, the unknown one last; made when first counted
 };
 
 } // namespace willowrill::fleet
--- a/src/scheduler/gossip/frame.cpp
+++ b/src/scheduler/gossip/frame.cpp
@@ -65,8 +65,8 @@
                                                                  : static_cast<std::uint32_t>(older));
     }
     std::vector<Offset<wire::Raise>> raises;
-    raises.reserve(digest.raises.size());
-    for (const counts::Raise& one : digest.raises) {
+    raises.reserve(digest.fold_corrections.size());
+    for (const counts::Raise& one : digest.fold_corrections) {
         raises.push_back(wire::CreateRaise(to, one.key, one.value, to.CreateString(one.name.tenant),
                                            to.CreateString(one.name.job_class),
                                            static_cast<std::uint8_t>(one.outcome)));
@@ -79,17 +79,17 @@
                               all_raises);
 }
 
-Offset<wire::Wants> write(FlatBufferBuilder& to, const Wants& wants) {
-    std::vector<wire::Want> all;
-    for (const counts::Want& one : wants)
+Offset<wire::DeltaRequest> write(FlatBufferBuilder& to, const DeltaRequest& wants) {
+    std::vector<wire::KnownVersion> all;
+    for (const counts::KnownVersion& one : wants)
         all.emplace_back(one.key, one.version, one.unknown);
-    return wire::CreateWants(to, to.CreateVectorOfStructs(all));
+    return wire::CreateDeltaRequest(to, to.CreateVectorOfStructs(all));
 }
 
 Offset<wire::Membership> write(FlatBufferBuilder& to, const swim::Message& message) {
     std::vector<Offset<wire::Member>> news;
-    news.reserve(message.news.size());
-    for (const swim::Member& one : message.news) {
+    news.reserve(message.updates.size());
+    for (const swim::Member& one : message.updates) {
         news.push_back(wire::CreateMember(to, to.CreateString(one.id.name), one.id.life, one.address.host,
                                           one.address.port, static_cast<std::uint8_t>(one.state),
                                           one.incarnation));
@@ -183,19 +183,19 @@
     const counts::Time latest(from.latest());
     for (const std::uint32_t older : *before)
         out.as_of.push_back(older == no_as_of ? counts::Time(0) : latest - milliseconds(older));
-    const bool good = each(from.raises(), [&](const wire::Raise* one) {
+    const bool good = each(from.fold_corrections(), [&](const wire::Raise* one) {
         auto name = name_of(one->tenant(), one->job_class());
-        if (!name || one->outcome() >= counts::outcomes) return false;
-        out.raises.push_back(
+        if (!name || one->outcome() >= counts::outcome_count) return false;
+        out.fold_corrections.push_back(
             {one->key(), one->value(), std::move(*name), static_cast<counts::Outcome>(one->outcome())});
         return true;
     });
     return good ? std::optional(std::move(out)) : std::nullopt;
 }
 
-std::optional<Wants> read(const wire::Wants& from) {
-    Wants out;
-    const bool good = each(from.wants(), [&](const wire::Want* one) {
+std::optional<DeltaRequest> read(const wire::DeltaRequest& from) {
+    DeltaRequest out;
+    const bool good = each(from.wants(), [&](const wire::KnownVersion* one) {
         out.push_back({one->key(), one->version(), one->unknown()});
         return true;
     });
@@ -203,18 +203,18 @@
 }
 
 std::optional<swim::Message> read(const wire::Membership& from) {
-    swim::Message out{.kind = static_cast<swim::Kind>(from.kind()),
+    swim::Message out{.kind = static_cast<swim::MessageKind>(from.kind()),
                       .sequence = from.sequence(),
                       .life = from.life(),
                       .subject = {from.host(), from.port()}};
-    if (out.kind > swim::Kind::sync) return std::nullopt;
-    const bool good = each(from.news(), [&](const wire::Member* one) {
+    if (out.kind > swim::MessageKind::sync) return std::nullopt;
+    const bool good = each(from.updates(), [&](const wire::Member* one) {
         auto name = name_of(one->name());
         if (!name || one->state() > static_cast<std::uint8_t>(swim::State::left)) return false;
-        out.news.push_back({{std::move(*name), one->life()},
-                            {one->host(), one->port()},
-                            static_cast<swim::State>(one->state()),
-                            one->incarnation()});
+        out.updates.push_back({{std::move(*name), one->life()},
+                               {one->host(), one->port()},
+                               static_cast<swim::State>(one->state()),
+                               one->incarnation()});
         return true;
     });
     return good ? std::optional(std::move(out)) : std::nullopt;
@@ -236,7 +236,7 @@
 } // namespace
 
 Bytes encode(const Frame& frame) {
-    FlatBufferBuilder to(largest_datagram);
+    FlatBufferBuilder to(max_datagram_bytes);
     struct Written {
         wire::Body kind;
         Offset<void> at;
@@ -246,7 +246,7 @@
             using Part = std::decay_t<decltype(part)>;
             const wire::Body kind = std::is_same_v<Part, swim::Message>    ? wire::Body_Membership
                                     : std::is_same_v<Part, counts::Digest> ? wire::Body_Digest
-                                    : std::is_same_v<Part, Wants>          ? wire::Body_Wants
+                                    : std::is_same_v<Part, DeltaRequest>   ? wire::Body_DeltaRequest
                                                                            : wire::Body_Delta;
             return {kind, write(to, part).Union()};
         },
@@ -270,8 +270,8 @@
     case wire::Body_Digest:
         content = body(datagram->body_as_Digest());
         break;
-    case wire::Body_Wants:
-        content = body(datagram->body_as_Wants());
+    case wire::Body_DeltaRequest:
+        content = body(datagram->body_as_DeltaRequest());
         break;
     case wire::Body_Delta:
         content = body(datagram->body_as_Delta());
--- a/src/scheduler/gossip/frame.h
+++ b/src/scheduler/gossip/frame.h
@@ -17,8 +17,8 @@
 using Bytes = std::vector<unsigned char>;
 using Time = std::chrono::nanoseconds;
 
-using Wants = std::vector<counts::Want>;
-using Body = std::variant<swim::Message, counts::Digest, Wants, counts::Delta>;
+using DeltaRequest = std::vector<counts::KnownVersion>;
+using Body = std::variant<swim::Message, counts::Digest, DeltaRequest, counts::Delta>;
 
 struct Frame {
     std::uint64_t life = 0, count = 0; // of the sender; its datagrams' count ascends
@@ -27,7 +27,7 @@
 };
 
 // Of a datagram on the wire, all of it; below what any path carries unbroken.
-inline constexpr std::size_t largest_datagram = 1200;
+inline constexpr std::size_t max_datagram_bytes = 1200;
 
 Bytes encode(const Frame& frame);
 std::optional<Frame> decode(std::span<const unsigned char> bytes); // nothing: malformed
--- a/src/scheduler/gossip/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -35,10 +35,10 @@
 NodeSettings settings_of(const operator_config::Site& site) {
     const operator_config::Mesh& mesh = *site.mesh;
     NodeSettings out;
-    out.payload = largest_datagram - Sealer::overhead;
+    out.max_frame_bytes = max_datagram_bytes - Sealer::overhead_bytes;
     out.bytes_per_second = mesh.bytes_per_second;
-    out.members = {.period = mesh.probe_period,
-                   .timeout = mesh.probe_timeout,
+    out.members = {.probe_period = mesh.probe_period,
+                   .probe_timeout = mesh.probe_timeout,
                    .indirect = mesh.indirect,
                    .suspicion = mesh.suspicion,
                    .forget_after = mesh.forget_after,
@@ -46,15 +46,15 @@
                    .seeds = {}};
     for (const net::Endpoint& seed : mesh.seeds)
         out.members.seeds.push_back(address_of(seed));
-    out.interval = 1h;
+    out.exchange_interval = 1h;
     if (!site.counts) return out;
     const operator_config::Counts& counts = *site.counts;
-    out.counts = true;
-    out.interval = counts.interval;
+    out.counts_enabled = true;
+    out.exchange_interval = counts.interval;
     out.rate = counts.rate;
     out.burst = counts.burst;
-    out.limits = {.tenants = counts.max_tenants,
-                  .lives = counts.max_lives,
+    out.limits = {.max_tenants = counts.max_tenants,
+                  .max_lives = counts.max_lives,
                   .max_skew = counts.max_skew,
                   .fold_after = counts.fold_after};
     return out;
@@ -107,8 +107,8 @@
 
 void Mesh::take_over(const Snapshot& former) {
     for (const counts::Delta& delta : former.deltas)
-        node_->book().load(delta, loop_.now());
-    const std::uint64_t lives = node_->book().lives() - 1;
+        node_->count_store().load(delta, loop_.now());
+    const std::uint64_t lives = node_->count_store().life_count() - 1;
     log::event(spdlog::level::info, "counts.state_read", {{"lives", lives}},
                "counts: " + std::to_string(lives) + " lives read from the last snapshot");
 }
@@ -140,11 +140,11 @@
     if (socket_.valid()) loop_.unwatch(socket_.get());
 }
 
-void Mesh::set(const operator_config::Site& site) {
+void Mesh::update_settings(const operator_config::Site& site) {
     settings_ = *site.mesh;
     sealer_ = Sealer(keys_of(settings_));
     if (site.counts) snapshot_every_ = site.counts->snapshot_every;
-    node_->set(settings_of(site));
+    node_->update_settings(settings_of(site));
     if (is_open()) arm();
 }
 
@@ -165,27 +165,27 @@
 }
 
 void Mesh::take(std::span<const unsigned char> datagram, swim::Address from) {
-    if (!settings_.networks.contains(from.host)) return drop(Dropped::foreign_network);
+    if (!settings_.networks.contains(from.host)) return drop(DropReason::foreign_network);
     const Sealer::Opened opened = sealer_.open(datagram);
     if (!opened.good) return drop(opened.cause);
     const auto frame = decode(opened.plain);
-    if (!frame) return drop(Dropped::malformed);
-    if (frame->life == node_->members().self().id.life) return drop(Dropped::own);
+    if (!frame) return drop(DropReason::malformed);
+    if (frame->life == node_->members().self().id.life) return drop(DropReason::own);
     // A window of each sender refuses what comes twice. One that has just started has none: there, the time
     // does.
     const net::Time now = loop_.now();
     if (frame->sent < now - settings_.max_age || frame->sent > now + settings_.max_age)
-        return drop(Dropped::too_old);
-    if (!replay_.take(frame->life, frame->count)) return drop(Dropped::replayed);
+        return drop(DropReason::too_old);
+    if (!replay_.take(frame->life, frame->count)) return drop(DropReason::replayed);
     node_->receive(now, from, *frame);
 }
 
 void Mesh::flush() {
-    for (Outgoing& out : node_->sends()) {
+    for (OutgoingFrame& out : node_->take_sends()) {
         const Bytes plain = encode(out.frame);
         const Bytes sealed = sealer_.seal(plain);
         const sockaddr_in to = endpoint_of(out.to).address;
-        if (sealed.size() > largest_datagram || !settings_.networks.contains(out.to.host) ||
+        if (sealed.size() > max_datagram_bytes || !settings_.networks.contains(out.to.host) ||
             ::sendto(socket_.get(), sealed.data(), sealed.size(), 0, reinterpret_cast<const sockaddr*>(&to),
                      sizeof to) < 0) {
             ++counters_.unsent; // as good as lost on its way, which everything here stands
@@ -194,7 +194,7 @@
         ++counters_.sent;
         counters_.sent_bytes += sealed.size();
     }
-    for (const swim::Change& change : node_->changes()) {
+    for (const swim::Change& change : node_->take_changes()) {
         const std::string_view state = swim::name_of(change.member.state);
         log::event(spdlog::level::info, "members.changed",
                    {{"member", change.member.id.name},
@@ -206,7 +206,7 @@
     arm();
 }
 
-void Mesh::arm() { timer_.arm(std::max(node_->next(), loop_.now())); }
+void Mesh::arm() { timer_.arm(std::max(node_->next_tick(), loop_.now())); }
 
 void Mesh::on_timer() {
     node_->tick(loop_.now());
@@ -219,8 +219,8 @@
     if (const auto failure = snapshots_->failure())
         log::event(spdlog::level::err, "counts.state_not_written", {{"why", *failure}},
                    "counts: " + *failure);
-    counts::Book& book = node_->book();
-    book.seal(now);
+    counts::CountStore& book = node_->count_store();
+    book.publish(now);
     snapshots_->save({book.self().instance, book.self().number, now, book.save(1U << 16U)});
 }
 
--- a/src/scheduler/gossip/mesh.h
+++ b/src/scheduler/gossip/mesh.h
@@ -21,7 +21,7 @@
 struct MeshCounters {
     std::uint64_t received = 0, received_bytes = 0, sent = 0, sent_bytes = 0;
     std::uint64_t unsent = 0; // the system had no room for them, or no way there
-    std::array<std::uint64_t, causes> dropped{};
+    std::array<std::uint64_t, drop_reason_count> dropped{};
 };
 
 net::Endpoint endpoint_of(swim::Address address);
@@ -34,8 +34,8 @@
     Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait = false);
     ~Mesh() override;
 
-    void set(const operator_config::Site&
-                 site); // keys, networks, times and bytes a second; the rest waits for a restart
+    void update_settings(const operator_config::Site&
+                             site); // keys, networks, times and bytes a second; the rest waits for a restart
 
     // The last words; goes on to answer for a moment, until `gone` says so.
     void leave(std::function<void()> gone);
@@ -53,7 +53,7 @@
     std::optional<Snapshot> load();
     void take_over(const Snapshot& former);
     void take(std::span<const unsigned char> datagram, swim::Address from);
-    void drop(Dropped cause) { ++counters_.dropped[static_cast<std::size_t>(cause)]; }
+    void drop(DropReason cause) { ++counters_.dropped[static_cast<std::size_t>(cause)]; }
     void on_timer();
     void flush(); // what the node wants sent, and told
     void arm();
--- a/src/scheduler/gossip/node.cpp
+++ b/src/scheduler/gossip/node.cpp
@@ -22,18 +22,18 @@
     : settings_(std::move(settings)), swim_(settings_.members, {instance, number}, address, seed, now),
       book_(settings_.limits, {instance, number, settings_.rate, settings_.burst}, now),
       random_(seed ^ 0x9e3779b9), next_exchange_(now + Time(static_cast<std::int64_t>(random_() % 1000) *
-                                                            (settings_.interval.count() / 1000))),
+                                                            (settings_.exchange_interval.count() / 1000))),
       next_fold_(now + fold_pause), filled_(now),
       budget_(static_cast<double>(settings_.bytes_per_second) * budget_seconds) {}
 
-void Node::set(NodeSettings settings) {
+void Node::update_settings(NodeSettings settings) {
     settings.limits = settings_.limits;
     settings_ = std::move(settings);
-    swim_.set(settings_.members);
+    swim_.update_settings(settings_.members);
 }
 
-std::vector<Outgoing> Node::sends() { return std::exchange(sends_, {}); }
-std::vector<swim::Change> Node::changes() { return std::exchange(changes_, {}); }
+std::vector<OutgoingFrame> Node::take_sends() { return std::exchange(sends_, {}); }
+std::vector<swim::Change> Node::take_changes() { return std::exchange(changes_, {}); }
 
 // Membership goes out in any case: it is little, and without it the others would take this one for dead.
 bool Node::afford(Time now, std::size_t bytes) {
@@ -66,20 +66,21 @@
     collect(actions, now);
 }
 
-Time Node::next() const {
-    const Time members = swim_.next();
-    return settings_.counts ? std::min({members, next_exchange_, next_fold_}) : members;
+Time Node::next_tick() const {
+    const Time members = swim_.next_tick();
+    return settings_.counts_enabled ? std::min({members, next_exchange_, next_fold_}) : members;
 }
 
 void Node::tick(Time now) {
     swim::Actions actions;
     swim_.tick(now, actions);
     collect(actions, now);
-    if (settings_.counts && now >= next_exchange_) {
-        next_exchange_ = std::max(next_exchange_ + settings_.interval, now + settings_.interval / 2);
+    if (settings_.counts_enabled && now >= next_exchange_) {
+        next_exchange_ =
+            std::max(next_exchange_ + settings_.exchange_interval, now + settings_.exchange_interval / 2);
         exchange(now);
     }
-    if (settings_.counts && now >= next_fold_) {
+    if (settings_.counts_enabled && now >= next_fold_) {
         next_fold_ = now + fold_pause;
         book_.fold(now, swim_.someone_away());
         new_life_if_rivalled(now);
@@ -87,12 +88,12 @@
 }
 
 void Node::exchange(Time now) {
-    book_.seal(now);
+    book_.publish(now);
     const auto peer = swim_.random_alive();
     if (!peer) return;
     ++statistics_.exchanges;
-    const std::size_t entries = (settings_.payload - frame_head) / digest_entry;
-    for (counts::Digest& digest : book_.digest(entries)) {
+    const std::size_t entries = (settings_.max_frame_bytes - frame_head) / digest_entry;
+    for (counts::Digest& digest : book_.make_digests(entries)) {
         if (!afford(now, frame_head + digest.keys.size() * digest_entry)) return;
         say(*peer, std::move(digest), now);
     }
@@ -126,35 +127,35 @@
         swim_.receive(now, from, *message, actions);
         collect(actions, now);
     }
-    if (!settings_.counts) return;
-    const auto tell = [&](const std::vector<counts::Want>& wants) {
+    if (!settings_.counts_enabled) return;
+    const auto tell = [&](const std::vector<counts::KnownVersion>& wants) {
         if (wants.empty()) return;
-        book_.seal(now);
-        for (counts::Delta& delta : book_.deltas(wants, settings_.payload, deltas_at_once)) {
-            if (!afford(now, settings_.payload)) return;
+        book_.publish(now);
+        for (counts::Delta& delta : book_.make_deltas(wants, settings_.max_frame_bytes, deltas_at_once)) {
+            if (!afford(now, settings_.max_frame_bytes)) return;
             say(from, std::move(delta), now);
         }
     };
     if (const auto* digest = std::get_if<counts::Digest>(&frame.body)) {
         ++statistics_.answered;
-        std::vector<counts::Want> lacking;
-        const std::vector<counts::Want> theirs = book_.answer(*digest, lacking, now);
-        const std::size_t most = (settings_.payload - frame_head) / want_entry;
+        std::vector<counts::KnownVersion> lacking;
+        const std::vector<counts::KnownVersion> theirs = book_.process_digest(*digest, lacking, now);
+        const std::size_t most = (settings_.max_frame_bytes - frame_head) / want_entry;
         for (std::size_t at = 0; at < lacking.size(); at += most) {
             const auto begin = lacking.begin() + static_cast<std::ptrdiff_t>(at);
             const auto end =
                 lacking.begin() + static_cast<std::ptrdiff_t>(std::min(at + most, lacking.size()));
             if (!afford(now, frame_head + want_entry * static_cast<std::size_t>(end - begin))) break;
-            say(from, Wants(begin, end), now);
+            say(from, DeltaRequest(begin, end), now);
         }
         tell(theirs);
     }
-    if (const auto* wants = std::get_if<Wants>(&frame.body)) tell(*wants);
+    if (const auto* wants = std::get_if<DeltaRequest>(&frame.body)) tell(*wants);
     if (const auto* delta = std::get_if<counts::Delta>(&frame.body)) book_.apply(*delta, now);
 }
 
 void Node::leave(Time now) {
-    if (settings_.counts) {
+    if (settings_.counts_enabled) {
         book_.end(now);
         // To three, so that a loss does not take the last counts with it. They ask for what they lack:
         // whoever calls this goes on to receive for a moment.
--- a/src/scheduler/gossip/node.h
+++ b/src/scheduler/gossip/node.h
@@ -14,15 +14,15 @@
 
 struct NodeSettings {
     swim::Settings members;
-    bool counts = false;
+    bool counts_enabled = false;
     counts::Limits limits;
-    Time interval{0};                  // between two exchanges that this instance begins
+    Time exchange_interval{0};         // between two exchanges that this instance begins
     std::uint64_t rate = 0, burst = 0; // declared
     std::uint64_t bytes_per_second = 0;
-    std::size_t payload = 0; // bytes that a frame may have, encoded
+    std::size_t max_frame_bytes = 0; // bytes that a frame may have, encoded
 };
 
-struct Outgoing {
+struct OutgoingFrame {
     swim::Address to;
     Frame frame;
 };
@@ -39,17 +39,17 @@
 
     void start(Time now);
     void tick(Time now);
-    Time next() const; // when `tick` is due
+    Time next_tick() const; // when `tick` is due
     void receive(Time now, swim::Address from, const Frame& frame);
     void leave(Time now); // the last words: all counts as they stand now, and that this life is over
 
     // What the calls above want sent, and what they saw change, since these were last asked for.
-    std::vector<Outgoing> sends();
-    std::vector<swim::Change> changes();
+    std::vector<OutgoingFrame> take_sends();
+    std::vector<swim::Change> take_changes();
 
-    void set(NodeSettings settings); // what a reload may change; the limits of the book stay
-    counts::Book& book() { return book_; }
-    const counts::Book& book() const { return book_; }
+    void update_settings(NodeSettings settings); // what a reload may change; the limits of the book stay
+    counts::CountStore& count_store() { return book_; }
+    const counts::CountStore& count_store() const { return book_; }
     const swim::Swim& members() const { return swim_; }
     const NodeStatistics& statistics() const { return statistics_; }
 
@@ -62,12 +62,12 @@
 
     NodeSettings settings_;
     swim::Swim swim_;
-    counts::Book book_;
+    counts::CountStore book_;
     pcg32 random_;
     Time next_exchange_{0}, next_fold_{0}, filled_{0};
     double budget_ = 0; // bytes
     std::uint64_t count_ = 0;
-    std::vector<Outgoing> sends_;
+    std::vector<OutgoingFrame> sends_;
     std::vector<swim::Change> changes_;
     NodeStatistics statistics_;
 };
--- a/src/scheduler/gossip/seal.cpp
+++ b/src/scheduler/gossip/seal.cpp
@@ -13,14 +13,14 @@
 constexpr unsigned char magic = 0x57;
 constexpr std::size_t head = 6, nonce_size = crypto_aead_xchacha20poly1305_ietf_NPUBBYTES,
                       tag = crypto_aead_xchacha20poly1305_ietf_ABYTES;
-static_assert(head + nonce_size + tag == Sealer::overhead);
+static_assert(head + nonce_size + tag == Sealer::overhead_bytes);
 
 } // namespace
 
-const char* name_of(Dropped cause) {
-    static constexpr std::array<const char*, causes> names{"foreign_network", "malformed", "unknown_format",
-                                                           "unknown_key",     "forged",    "replayed",
-                                                           "too_old",         "own"};
+const char* name_of(DropReason cause) {
+    static constexpr std::array<const char*, drop_reason_count> names{
+        "foreign_network", "malformed", "unknown_format", "unknown_key",
+        "forged",          "replayed",  "too_old",        "own"};
     return names.at(static_cast<std::size_t>(cause));
 }
 
@@ -31,7 +31,7 @@
 
 Bytes Sealer::seal(std::span<const unsigned char> plain) const {
     const Key& key = keys_.front();
-    Bytes out(overhead + plain.size());
+    Bytes out(overhead_bytes + plain.size());
     out[0] = magic;
     out[1] = format;
     for (unsigned i = 0; i < 4; ++i)
@@ -44,20 +44,20 @@
 }
 
 Sealer::Opened Sealer::open(std::span<const unsigned char> datagram) const {
-    if (datagram.size() < overhead || datagram.size() > largest_datagram || datagram[0] != magic)
-        return {.cause = Dropped::malformed, .plain = {}};
-    if (datagram[1] != format) return {.cause = Dropped::unknown_format, .plain = {}};
+    if (datagram.size() < overhead_bytes || datagram.size() > max_datagram_bytes || datagram[0] != magic)
+        return {.cause = DropReason::malformed, .plain = {}};
+    if (datagram[1] != format) return {.cause = DropReason::unknown_format, .plain = {}};
     std::uint32_t id = 0;
     for (unsigned i = 0; i < 4; ++i)
         id |= static_cast<std::uint32_t>(datagram[2 + i]) << (8 * i);
     const auto key = std::ranges::find(keys_, id, &Key::id);
-    if (key == keys_.end()) return {.cause = Dropped::unknown_key, .plain = {}};
-    Opened out{.good = true, .plain = Bytes(datagram.size() - overhead)};
+    if (key == keys_.end()) return {.cause = DropReason::unknown_key, .plain = {}};
+    Opened out{.good = true, .plain = Bytes(datagram.size() - overhead_bytes)};
     const unsigned char* sealed = datagram.data() + head + nonce_size;
     if (::crypto_aead_xchacha20poly1305_ietf_decrypt(out.plain.data(), nullptr, nullptr, sealed,
                                                      datagram.size() - head - nonce_size, datagram.data(),
                                                      head, datagram.data() + head, key->secret.data()) != 0)
-        return {.cause = Dropped::forged, .plain = {}};
+        return {.cause = DropReason::forged, .plain = {}};
     return out;
 }
 
--- a/src/scheduler/gossip/seal.h
+++ b/src/scheduler/gossip/seal.h
@@ -20,7 +20,7 @@
     std::array<unsigned char, 32> secret{};
 };
 
-enum class Dropped : std::uint8_t {
+enum class DropReason : std::uint8_t {
     foreign_network, // from outside the configured networks
     malformed,       // no envelope of ours, or no frame in it
     unknown_format,  // of another version of the program
@@ -31,8 +31,8 @@
     own,             // sent by this very instance
     number_of_causes
 };
-inline constexpr std::size_t causes = static_cast<std::size_t>(Dropped::number_of_causes);
-const char* name_of(Dropped cause);
+inline constexpr std::size_t drop_reason_count = static_cast<std::size_t>(DropReason::number_of_causes);
+const char* name_of(DropReason cause);
 
 class Sealer {
   public:
@@ -40,11 +40,11 @@
     // cannot start.
     explicit Sealer(std::vector<Key> keys);
 
-    static constexpr std::size_t overhead = 1 + 1 + 4 + 24 + 16; // magic, format, key's id, nonce, tag
+    static constexpr std::size_t overhead_bytes = 1 + 1 + 4 + 24 + 16; // magic, format, key's id, nonce, tag
     Bytes seal(std::span<const unsigned char> plain) const;
     struct Opened {
         bool good = false;
-        Dropped cause{};
+        DropReason cause{};
         Bytes plain{};
     };
     Opened open(std::span<const unsigned char> datagram) const;
--- a/src/scheduler/swim/members.cpp
+++ b/src/scheduler/swim/members.cpp
@@ -28,7 +28,7 @@
     self_.id = std::move(self);
     self_.address = address;
     // Periods that begin at once everywhere would make one burst of probes of a fleet that starts together.
-    next_period_ += Duration(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) *
+    next_period_ += Duration(static_cast<std::int64_t>(static_cast<double>(settings_.probe_period.count()) *
                                                        (static_cast<double>(random_()) / 4294967296.0)));
 }
 
@@ -92,7 +92,7 @@
 void Swim::add_news(Message& message) {
     std::ranges::stable_sort(rumours_, {}, &Rumour::told);
     std::size_t room = settings_.news_bytes;
-    for (const Member& there : message.news)
+    for (const Member& there : message.updates)
         room -= std::min(room, cost(there));
     for (Rumour& rumour : rumours_) {
         const Member* member = rumour.id == self_.id ? &self_ : known(rumour.id);
@@ -102,7 +102,7 @@
         }
         if (cost(*member) > room) break;
         room -= cost(*member);
-        message.news.push_back(*member);
+        message.updates.push_back(*member);
         ++rumour.told;
     }
     const std::size_t most = most_told();
@@ -116,7 +116,7 @@
 
 Duration Swim::suspicion_time() const {
     const double size = std::max(1.0, std::log10(static_cast<double>(view_.size() + 1)));
-    return Duration(static_cast<std::int64_t>(static_cast<double>(settings_.period.count()) *
+    return Duration(static_cast<std::int64_t>(static_cast<double>(settings_.probe_period.count()) *
                                               static_cast<double>(settings_.suspicion) * size));
 }
 
@@ -263,9 +263,9 @@
     ++statistics_.probes;
     probe_ = {.target = *target, .sequence = ++sequence_, .open = true};
     // One that doubts itself waits longer before it says anything about another.
-    probe_.asked_others = now + settings_.timeout * static_cast<std::int64_t>(1 + health_);
-    Message ping{.kind = Kind::ping, .sequence = probe_.sequence, .life = member.id.life};
-    if (member.state == State::suspect) ping.news.push_back(member); // it must hear of that to refute it
+    probe_.asked_others = now + settings_.probe_timeout * static_cast<std::int64_t>(1 + health_);
+    Message ping{.kind = MessageKind::ping, .sequence = probe_.sequence, .life = member.id.life};
+    if (member.state == State::suspect) ping.updates.push_back(member); // it must hear of that to refute it
     send(member.address, std::move(ping), out);
 }
 
@@ -298,7 +298,7 @@
             ++statistics_.indirect_probes;
             ++probe_.nacks_expected;
             send(address,
-                 {.kind = Kind::ping_request,
+                 {.kind = MessageKind::ping_request,
                   .sequence = probe_.sequence,
                   .life = target->id.life,
                   .subject = target->address},
@@ -307,9 +307,9 @@
     }
     for (Relayed& relayed : relayed_) {
         if (now < relayed.until || std::exchange(relayed.nacked, true)) continue;
-        send(relayed.asker, {.kind = Kind::nack, .sequence = relayed.sequence}, out);
+        send(relayed.asker, {.kind = MessageKind::nack, .sequence = relayed.sequence}, out);
     }
-    std::erase_if(relayed_, [&](const Relayed& one) { return now >= one.until + settings_.period; });
+    std::erase_if(relayed_, [&](const Relayed& one) { return now >= one.until + settings_.probe_period; });
     std::vector<Id> over;
     for (const auto& [id, member] : view_)
         if (member.state == State::suspect && now >= details_[id].dead_at) over.push_back(id);
@@ -319,16 +319,16 @@
     end_probe(now, out);
     forget(now);
     ++periods_;
-    next_period_ = std::max(next_period_ + settings_.period, now + settings_.period / 2);
+    next_period_ = std::max(next_period_ + settings_.probe_period, now + settings_.probe_period / 2);
     probe(now, out);
     reach_out(out);
     if (periods_ % settings_.sync_periods == 0) {
         if (const auto peer = random_alive())
-            send(*peer, {.kind = Kind::sync_request, .sequence = ++sequence_}, out);
+            send(*peer, {.kind = MessageKind::sync_request, .sequence = ++sequence_}, out);
     }
 }
 
-Time Swim::next() const {
+Time Swim::next_tick() const {
     Time out = next_period_;
     if (probe_.open && !probe_.indirect) out = std::min(out, probe_.asked_others);
     for (const Relayed& relayed : relayed_)
@@ -344,8 +344,8 @@
         return member.state == State::dead && member.id.name != self_.id.name;
     });
     if (!dead.empty()) {
-        Message ping{.kind = Kind::ping, .sequence = ++sequence_, .life = 0};
-        ping.news.push_back(*dead.front());
+        Message ping{.kind = MessageKind::ping, .sequence = ++sequence_, .life = 0};
+        ping.updates.push_back(*dead.front());
         const Address to = dead.front()->address;
         send(to, std::move(ping), out);
     }
@@ -360,8 +360,8 @@
     }
     if (unknown.empty()) return;
     const Address to = unknown[random_(static_cast<std::uint32_t>(unknown.size()))];
-    Message ask{.kind = Kind::sync_request, .sequence = ++sequence_};
-    ask.news.push_back(self_);
+    Message ask{.kind = MessageKind::sync_request, .sequence = ++sequence_};
+    ask.updates.push_back(self_);
     send(to, std::move(ask), out);
 }
 
@@ -384,8 +384,8 @@
     spread(self_.id);
     for (const Address& seed : settings_.seeds) {
         if (seed == self_.address) continue;
-        Message ask{.kind = Kind::sync_request, .sequence = ++sequence_};
-        ask.news.push_back(self_);
+        Message ask{.kind = MessageKind::sync_request, .sequence = ++sequence_};
+        ask.updates.push_back(self_);
         out.sends.push_back({seed, std::move(ask)});
     }
 }
@@ -394,35 +394,35 @@
     std::vector<Member> all{self_};
     for (const auto& [id, member] : view_)
         all.push_back(member);
-    Message part{.kind = Kind::sync};
+    Message part{.kind = MessageKind::sync};
     std::size_t room = settings_.news_bytes;
     for (Member& member : all) {
         if (cost(member) > room) {
-            out.sends.push_back({to, std::exchange(part, {.kind = Kind::sync})});
+            out.sends.push_back({to, std::exchange(part, {.kind = MessageKind::sync})});
             room = settings_.news_bytes;
         }
         room -= cost(member);
-        part.news.push_back(std::move(member));
+        part.updates.push_back(std::move(member));
     }
     out.sends.push_back({to, std::move(part)});
 }
 
 void Swim::receive(Time now, Address from, const Message& message, Actions& out) {
     std::uint64_t from_life = (std::uint64_t{from.host} << 16U) | from.port; // whose word it is
-    for (const Member& news : message.news)
+    for (const Member& news : message.updates)
         hear(now, news, from_life, out);
-    if (leaving_ && message.kind != Kind::ping) return;
+    if (leaving_ && message.kind != MessageKind::ping) return;
     switch (message.kind) {
-    case Kind::ping:
+    case MessageKind::ping:
         if (message.life == 0 || message.life == self_.id.life) {
-            send(from, {.kind = Kind::ack, .sequence = message.sequence}, out);
+            send(from, {.kind = MessageKind::ack, .sequence = message.sequence}, out);
         } else { // it means a former life that was here, or one whose address this instance has now
-            Message answer{.kind = Kind::nack, .sequence = message.sequence};
-            answer.news.push_back(self_);
+            Message answer{.kind = MessageKind::nack, .sequence = message.sequence};
+            answer.updates.push_back(self_);
             send(from, std::move(answer), out);
         }
         break;
-    case Kind::ack: {
+    case MessageKind::ack: {
         if (probe_.open && message.sequence == probe_.sequence) {
             probe_.open = false;
             if (health_ > 0) --health_;
@@ -432,34 +432,34 @@
             const Address asker = relayed->asker;
             const std::uint32_t sequence = relayed->sequence;
             relayed_.erase(relayed);
-            send(asker, {.kind = Kind::ack, .sequence = sequence}, out);
+            send(asker, {.kind = MessageKind::ack, .sequence = sequence}, out);
         }
         break;
     }
-    case Kind::nack:
+    case MessageKind::nack:
         if (!probe_.open || message.sequence != probe_.sequence) break;
         ++probe_.nacks;
         // Another life answers where the one probed was: that one is over, also where a clock that went back
         // gave its successor the lower number.
         if (const auto found = view_.find(probe_.target);
             found != view_.end() && found->second.state != State::left && found->second.address == from &&
-            std::ranges::any_of(message.news, [&](const Member& there) {
+            std::ranges::any_of(message.updates, [&](const Member& there) {
                 return there.address == from && there.id != probe_.target;
             })) {
             probe_.open = false;
             set_state(now, found->second, State::dead, found->second.incarnation, out);
         }
         break;
-    case Kind::ping_request: {
+    case MessageKind::ping_request: {
         if (relayed_.size() >= most_relayed) break;
-        relayed_.push_back({from, message.sequence, ++sequence_, now + settings_.timeout});
-        send(message.subject, {.kind = Kind::ping, .sequence = sequence_, .life = message.life}, out);
+        relayed_.push_back({from, message.sequence, ++sequence_, now + settings_.probe_timeout});
+        send(message.subject, {.kind = MessageKind::ping, .sequence = sequence_, .life = message.life}, out);
         break;
     }
-    case Kind::sync_request:
+    case MessageKind::sync_request:
         sync_to(from, out);
         break;
-    case Kind::sync:
+    case MessageKind::sync:
         break;
     }
 }
@@ -467,8 +467,8 @@
 void Swim::leave(Time, Actions& out) {
     if (std::exchange(leaving_, true)) return;
     self_.state = State::left;
-    Message last{.kind = Kind::sync};
-    last.news.push_back(self_);
+    Message last{.kind = MessageKind::sync};
+    last.updates.push_back(self_);
     constexpr std::size_t told = 8;
     for (const Member* member : choose(told, [](const Member& one) {
              return one.state == State::alive || one.state == State::suspect;
--- a/src/scheduler/swim/members.h
+++ b/src/scheduler/swim/members.h
@@ -48,7 +48,7 @@
     std::uint32_t incarnation = 0; // raised by the member alone, to refute what is said of it
 };
 
-enum class Kind : std::uint8_t {
+enum class MessageKind : std::uint8_t {
     ping,         // answer with an ack
     ack,          // also for a member that somebody asked to probe
     ping_request, // probe `subject` for me
@@ -58,16 +58,16 @@
 };
 
 struct Message {
-    Kind kind = Kind::ping;
+    MessageKind kind = MessageKind::ping;
     std::uint32_t sequence = 0;
-    std::uint64_t life = 0;     // that a ping is meant for; 0: whoever is there
-    Address subject{};          // of a ping_request
-    std::vector<Member> news{}; // piggy-backed, or the members of a sync
+    std::uint64_t life = 0;        // that a ping is meant for; 0: whoever is there
+    Address subject{};             // of a ping_request
+    std::vector<Member> updates{}; // piggy-backed, or the members of a sync
 };
 
 struct Settings {
-    Duration period{0};  // one member is probed in each
-    Duration timeout{0}; // after which others are asked; at most half of the period
+    Duration probe_period{0};  // one member is probed in each
+    Duration probe_timeout{0}; // after which others are asked; at most half of the period
     std::size_t indirect = 3;
     std::size_t suspicion = 4; // periods, times log10 of the number of members
     Duration forget_after{0};
@@ -105,10 +105,10 @@
 
     void start(Time now, Actions& out); // asks the seeds
     void tick(Time now, Actions& out);
-    Time next() const; // when `tick` is due
+    Time next_tick() const; // when `tick` is due
     void receive(Time now, Address from, const Message& message, Actions& out);
     void leave(Time now, Actions& out); // tells some of the others at once; nothing is probed from then on
-    void set(Settings settings) { settings_ = std::move(settings); }
+    void update_settings(Settings settings) { settings_ = std::move(settings); }
     // This instance goes on as another life; the present one has left.
     void begin_life(std::uint64_t life, Time now, Actions& out);
 
--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -12,9 +12,9 @@
     fleet.count(2, "b", 1, Outcome::refused);
     fleet.settle();
     for (std::size_t i = 0; i < 3; ++i) {
-        CHECK(fleet.low(i, "a") == 12);
-        CHECK(fleet.books[i]->low("b", "c", Outcome::refused) == 1);
-        CHECK(fleet.low(i, "b") == 0);
+        CHECK(fleet.low_total(i, "a") == 12);
+        CHECK(fleet.books[i]->low_total("b", "c", Outcome::refused) == 1);
+        CHECK(fleet.low_total(i, "b") == 0);
         CHECK(fleet.books[i]->fingerprint() == fleet.books[0]->fingerprint());
     }
     CHECK(fleet.books[0]->totals(fleet.now).rows.size() == 2);
@@ -37,7 +37,7 @@
     Fleet fleet(2);
     for (int i = 0; i < 300; ++i)
         fleet.count(0, "t" + std::to_string(i));
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     const auto parts = fleet.books[0]->save(datagram);
     REQUIRE(parts.size() > 4);
     fleet.books[1]->apply(parts[0], fleet.now);
@@ -46,22 +46,22 @@
     CHECK(fleet.books[1]->statistics().sections_gap == 1);
     CHECK(fleet.books[1]->statistics().cells_applied == known);
     fleet.settle(1);
-    CHECK(fleet.low(1, "t299") == 1);
-    CHECK(fleet.low(1, "t0") == 1);
+    CHECK(fleet.low_total(1, "t299") == 1);
+    CHECK(fleet.low_total(1, "t0") == 1);
 }
 
 TEST_CASE("order and repeats do not matter") {
     Fleet fleet(2);
     fleet.count(0, "a", 3);
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     const auto first = fleet.books[0]->save(datagram);
     fleet.count(0, "a", 4);
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     const auto second = fleet.books[0]->save(datagram);
     for (const auto* parts : {&second, &first, &second, &first})
         for (const Delta& delta : *parts)
             fleet.books[1]->apply(delta, fleet.now);
-    CHECK(fleet.low(1, "a") == 7);
+    CHECK(fleet.low_total(1, "a") == 7);
 }
 
 TEST_CASE("the bounds hold while one is cut off, and close when it is back") {
@@ -99,10 +99,10 @@
 
 TEST_CASE("a clock that is ahead does not make what is old look new") {
     Fleet fleet(2);
-    Book ahead(fleet.limits, {"x", next_number(fleet.now, 9, 0), 100, 0}, fleet.now + 10s);
-    const Series series = ahead.series("a", "c");
+    CountStore ahead(fleet.limits, {"x", next_number(fleet.now, 9, 0), 100, 0}, fleet.now + 10s);
+    const SeriesIndex series = ahead.series("a", "c");
     ahead.count(series, Outcome::served);
-    ahead.seal(fleet.now + 10s);
+    ahead.publish(fleet.now + 10s);
     for (const Delta& delta : ahead.save(datagram))
         fleet.books[1]->apply(delta, fleet.now);
     CHECK(fleet.books[1]->statistics().skewed == 1);
@@ -113,11 +113,11 @@
 TEST_CASE("counting beyond what was declared is noticed by the one that does it") {
     Fleet fleet(1);
     fleet.count(0, "a", 51);
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     CHECK(fleet.books[0]->statistics().over_rate == 1);
     fleet.now += 1s;
     fleet.count(0, "a", 50);
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     CHECK(fleet.books[0]->statistics().over_rate == 1);
 }
 
@@ -128,7 +128,7 @@
     fleet.count(3, "a", 6);
     fleet.settle();
     for (std::size_t i = 0; i < 4; ++i)
-        CHECK(fleet.low(i, "a") == 11);
+        CHECK(fleet.low_total(i, "a") == 11);
     CHECK(fleet.books[0]->rival() == fleet.books[3]->self().number);
     fleet.books[0]->fold(fleet.now, false);
     fleet.books[3]->fold(fleet.now, false); // the other one lives: nothing is folded
@@ -143,14 +143,14 @@
     fleet.start(0, "i0");
     fleet.settle();
     fleet.count(0, "a", 2);
-    CHECK(fleet.books[1]->lives() == 4);
+    CHECK(fleet.books[1]->life_count() == 4);
     fleet.books[0]->fold(fleet.now, true);
     CHECK(fleet.books[0]->statistics().folds == 0); // someone is away, and may know more
     fleet.books[0]->fold(fleet.now, false);
     fleet.settle();
     for (std::size_t i = 0; i < 3; ++i) {
-        CHECK(fleet.low(i, "a") == 7);
-        CHECK(fleet.books[i]->lives() == 3);
+        CHECK(fleet.low_total(i, "a") == 7);
+        CHECK(fleet.books[i]->life_count() == 3);
     }
 }
 
@@ -166,7 +166,7 @@
     fleet.books[0]->fold(fleet.now, false);
     CHECK(fleet.books[0]->statistics().folds == 1);
     fleet.settle();
-    CHECK(fleet.low(1, "a") == 5);
+    CHECK(fleet.low_total(1, "a") == 5);
 }
 
 TEST_CASE("a folded life that returns is not counted twice") {
@@ -179,21 +179,22 @@
     fleet.settle();
     fleet.books[0]->fold(fleet.now, false);
     fleet.settle();
-    Book back(fleet.limits, {"i2", next_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50}, fleet.now);
+    CountStore back(fleet.limits, {"i2", next_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50},
+                    fleet.now);
     for (const Delta& delta : old)
         back.load(delta, fleet.now);
-    CHECK(back.low("a", "c", Outcome::served) == 5);
+    CHECK(back.low_total("a", "c", Outcome::served) == 5);
     exchange(back, *fleet.books[1], fleet.now);
     exchange(*fleet.books[1], back, fleet.now);
-    CHECK(back.low("a", "c", Outcome::served) == 5);
-    CHECK(fleet.low(1, "a") == 5);
+    CHECK(back.low_total("a", "c", Outcome::served) == 5);
+    CHECK(fleet.low_total(1, "a") == 5);
     for (const Delta& delta : old) // straight to those who have folded it, late and twice
         for (auto& book : fleet.books)
             book->apply(delta, fleet.now);
     CHECK(fleet.books[1]->statistics().folded_returned > 0);
     fleet.settle();
-    CHECK(fleet.low(0, "a") == 5);
-    CHECK(fleet.low(1, "a") == 5);
+    CHECK(fleet.low_total(0, "a") == 5);
+    CHECK(fleet.low_total(1, "a") == 5);
 }
 
 TEST_CASE("a returning life that knows more than was folded raises what was folded, everywhere") {
@@ -210,14 +211,14 @@
     fleet.now += fleet.limits.fold_after + 1s;
     fleet.books[0]->fold(fleet.now, false); // i2 is forgotten
     fleet.settle();
-    CHECK(fleet.low(1, "a") == 5);
+    CHECK(fleet.low_total(1, "a") == 5);
     fleet.books.push_back(std::move(away));
-    CHECK(fleet.low(2, "a") == 8);
+    CHECK(fleet.low_total(2, "a") == 8);
     fleet.settle();
     for (std::size_t i = 0; i < 3; ++i) {
-        CHECK(fleet.low(i, "a") == 8);
-        CHECK(fleet.low(i, "b") == 1);
-        CHECK(fleet.books[i]->lives() == 3);
+        CHECK(fleet.low_total(i, "a") == 8);
+        CHECK(fleet.low_total(i, "b") == 1);
+        CHECK(fleet.books[i]->life_count() == 3);
     }
     CHECK(fleet.books[0]->statistics().raised > 0);
 }
@@ -236,23 +237,23 @@
     fleet.count(0, "a", 2);
     fleet.settle();
     for (std::size_t i = 0; i < 3; ++i)
-        CHECK(fleet.low(i, "a") == 11);
+        CHECK(fleet.low_total(i, "a") == 11);
     CHECK(fleet.books[0]->statistics().lives_begun == 1);
 }
 
 TEST_CASE("what is beyond the limits is counted together, and none of it is lost") {
-    Fleet fleet(2, {.tenants = 2, .lives = 3, .max_skew = 0ms, .fold_after = 60s});
+    Fleet fleet(2, {.max_tenants = 2, .max_lives = 3, .max_skew = 0ms, .fold_after = 60s});
     for (const char* tenant : {"a", "b", "c", "d"})
         fleet.count(0, tenant, 2);
     fleet.settle();
-    CHECK(fleet.low(1, "a") == 2);
-    CHECK(fleet.low(1, std::string(other_tenant)) == 4);
+    CHECK(fleet.low_total(1, "a") == 2);
+    CHECK(fleet.low_total(1, std::string(other_tenant)) == 4);
     CHECK(fleet.books[0]->statistics().over_limit > 0);
     for (int i = 0; i < 5; ++i) {
         fleet.start(1, "n" + std::to_string(i));
         exchange(*fleet.books[1], *fleet.books[0], fleet.now);
     }
-    CHECK(fleet.books[0]->lives() == 3);
+    CHECK(fleet.books[0]->life_count() == 3);
 }
 
 TEST_CASE("sections against the rules change nothing") {
@@ -260,9 +261,9 @@
     fleet.count(0, "a", 5);
     fleet.settle();
     fleet.count(0, "a", 1);
-    fleet.books[0]->seal(fleet.now);
+    fleet.books[0]->publish(fleet.now);
     const std::uint64_t key = fleet.books[0]->self().key();
-    const auto good = fleet.books[0]->deltas({{key, 2, false}}, datagram, 1).at(0);
+    const auto good = fleet.books[0]->make_deltas({{key, 2, false}}, datagram, 1).at(0);
     REQUIRE(good.cells.size() == 1);
     const auto bad = [&](auto change) {
         Delta delta = good;
@@ -272,7 +273,7 @@
         const auto& after = fleet.books[1]->statistics();
         return after.sections_bad + after.sections_gap + after.sections_unknown ==
                    before.sections_bad + before.sections_gap + before.sections_unknown + 1 &&
-               fleet.low(1, "a") == 5;
+               fleet.low_total(1, "a") == 5;
     };
     CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));  // no such series
     CHECK(bad([](Delta& d) { d.cells[0].after = 0; })); // not behind `from`
@@ -288,18 +289,18 @@
     CHECK(bad([](Delta& d) { d.sections[0].to = 0; }));
     CHECK(bad([](Delta& d) { d.sections[0].key ^= 1; }));
     fleet.books[1]->apply(good, fleet.now);
-    CHECK(fleet.low(1, "a") == 6);
+    CHECK(fleet.low_total(1, "a") == 6);
 }
 
 TEST_CASE(
     "an instance that declares more than any may is not taken in") { // found by fuzzing: high left 64 bits
     Fleet fleet(1);
-    Book loud(fleet.limits, {"loud", 1, ~std::uint64_t{0}, 1}, fleet.now);
+    CountStore loud(fleet.limits, {"loud", 1, ~std::uint64_t{0}, 1}, fleet.now);
     loud.count(loud.series("a", "c"), Outcome::served);
-    loud.seal(fleet.now);
+    loud.publish(fleet.now);
     for (const Delta& delta : loud.save(datagram))
         fleet.books[0]->apply(delta, fleet.now);
-    CHECK(fleet.books[0]->lives() == 1);
+    CHECK(fleet.books[0]->life_count() == 1);
     CHECK(fleet.books[0]->statistics().sections_bad == 1);
 }
 
--- a/tests/scheduler/counts/fleet.h
+++ b/tests/scheduler/counts/fleet.h
@@ -19,17 +19,18 @@
 
 // One exchange begun by `a`. Returns the bytes of the deltas, as `wire.h` costs them.
 inline void exchange(
-    Book& a, Book& b, Time now, const Lose& lose = [] { return false; }, std::size_t messages = 64) {
-    a.seal(now);
-    b.seal(now);
-    for (const Digest& digest : a.digest(3)) {
+    CountStore& a, CountStore& b, Time now, const Lose& lose = [] { return false; },
+    std::size_t messages = 64) {
+    a.publish(now);
+    b.publish(now);
+    for (const Digest& digest : a.make_digests(3)) {
         if (lose()) continue;
-        std::vector<Want> lacking;
-        const std::vector<Want> theirs = b.answer(digest, lacking, now);
-        for (const Delta& delta : b.deltas(theirs, datagram, messages))
+        std::vector<KnownVersion> lacking;
+        const std::vector<KnownVersion> theirs = b.process_digest(digest, lacking, now);
+        for (const Delta& delta : b.make_deltas(theirs, datagram, messages))
             if (!lose()) a.apply(delta, now);
         if (lose()) continue;
-        for (const Delta& delta : a.deltas(lacking, datagram, messages))
+        for (const Delta& delta : a.make_deltas(lacking, datagram, messages))
             if (!lose()) b.apply(delta, now);
     }
 }
@@ -44,11 +45,11 @@
         if (books.size() <= at) books.resize(at + 1);
         const std::uint64_t number = next_number(now, ++started, last_number[name]);
         last_number[name] = number;
-        books[at] = std::make_unique<Book>(limits, Identity{name, number, rate, burst}, now);
+        books[at] = std::make_unique<CountStore>(limits, Identity{name, number, rate, burst}, now);
     }
     void count(std::size_t at, const std::string& tenant, std::uint64_t times = 1,
                Outcome outcome = Outcome::served) {
-        const Series series = books[at]->series(tenant, "c");
+        const SeriesIndex series = books[at]->series(tenant, "c");
         for (std::uint64_t i = 0; i < times; ++i)
             books[at]->count(series, outcome);
         truth[tenant] += times;
@@ -59,8 +60,8 @@
                 for (auto& b : books)
                     if (a != b) exchange(*a, *b, now);
     }
-    std::uint64_t low(std::size_t at, const std::string& tenant) const {
-        return books[at]->low(tenant, "c", Outcome::served);
+    std::uint64_t low_total(std::size_t at, const std::string& tenant) const {
+        return books[at]->low_total(tenant, "c", Outcome::served);
     }
     Total total(std::size_t at, const std::string& tenant) const {
         for (const Total& row : books[at]->totals(now).rows)
@@ -73,7 +74,7 @@
     Time now = 1'700'000'000s;
     std::uint32_t started = 0;
     std::map<std::string, std::uint64_t> last_number;
-    std::vector<std::unique_ptr<Book>> books;
+    std::vector<std::unique_ptr<CountStore>> books;
     std::map<std::string, std::uint64_t> truth;
 };
 
--- a/tests/scheduler/counts/property_test.cpp
+++ b/tests/scheduler/counts/property_test.cpp
@@ -23,11 +23,11 @@
             rc::gen::tuple(rc::gen::inRange(0U, 3U), rc::gen::inRange(0U, 3U), rc::gen::inRange(1U, 5U)));
         for (const auto& [at, tenant, times] : steps) {
             fleet.count(at, tenant_of(tenant), times);
-            fleet.books[at]->seal(fleet.now);
+            fleet.books[at]->publish(fleet.now);
             for (Delta& delta : fleet.books[at]->save(datagram))
                 pieces.push_back(std::move(delta));
         }
-        Book in_order(fleet.limits, {"x", 1, 1, 1}, fleet.now),
+        CountStore in_order(fleet.limits, {"x", 1, 1, 1}, fleet.now),
             shuffled(fleet.limits, {"x", 1, 1, 1}, fleet.now);
         for (const Delta& delta : pieces)
             in_order.apply(delta, fleet.now);
@@ -40,7 +40,7 @@
             shuffled.apply(delta, fleet.now);
         RC_ASSERT(shuffled.fingerprint() == in_order.fingerprint());
         for (std::size_t tenant = 0; tenant < tenants; ++tenant)
-            RC_ASSERT(in_order.low(tenant_of(tenant), "c", Outcome::served) ==
+            RC_ASSERT(in_order.low_total(tenant_of(tenant), "c", Outcome::served) ==
                       fleet.truth[tenant_of(tenant)]);
     });
 }
@@ -65,9 +65,9 @@
         constexpr std::size_t instances = 4;
         // Few raises are kept: where there is no room for more, lives stay rather than lose what they
         // counted.
-        Fleet fleet(
-            instances,
-            {.max_skew = 10ms, .fold_after = 20s, .raises = *rc::gen::element<std::size_t>(0, 1, 1000)});
+        Fleet fleet(instances, {.max_skew = 10ms,
+                                .fold_after = 20s,
+                                .max_fold_corrections = *rc::gen::element<std::size_t>(0, 1, 1000)});
         std::vector<std::map<std::string, std::uint64_t>> seen(instances);
         std::vector<std::vector<Delta>> saved(instances);
         for (const Step& step : *schedule(instances)) {
@@ -99,7 +99,7 @@
                 fleet.books[a]->fold(fleet.now, step.amount < 20);
                 break;
             case 5:
-                fleet.books[a]->seal(fleet.now);
+                fleet.books[a]->publish(fleet.now);
                 saved[a] = fleet.books[a]->save(datagram);
                 break;
             default: // ends in order, and starts anew
@@ -112,7 +112,7 @@
             for (std::size_t i = 0; i < instances; ++i) {
                 for (std::size_t tenant = 0; tenant < tenants; ++tenant) {
                     const std::string name = tenant_of(tenant);
-                    const std::uint64_t low = fleet.low(i, name);
+                    const std::uint64_t low = fleet.low_total(i, name);
                     RC_ASSERT(low >= seen[i][name]);
                     RC_ASSERT(low <= fleet.truth[name]);
                     seen[i][name] = low;
--- a/tests/scheduler/gossip/frame_test.cpp
+++ b/tests/scheduler/gossip/frame_test.cpp
@@ -21,24 +21,28 @@
 }
 
 TEST_CASE("membership, digests, wants and deltas come back as they went") {
-    const auto message = there_and_back(
-        swim::Message{swim::Kind::ping_request, 5, 6, {1, 2}, {{{"a", 3}, {4, 5}, swim::State::suspect, 6}}});
-    CHECK(message.kind == swim::Kind::ping_request);
+    const auto message = there_and_back(swim::Message{
+        swim::MessageKind::ping_request, 5, 6, {1, 2}, {{{"a", 3}, {4, 5}, swim::State::suspect, 6}}});
+    CHECK(message.kind == swim::MessageKind::ping_request);
     CHECK(message.subject == swim::Address{1, 2});
-    REQUIRE(message.news.size() == 1);
-    CHECK(message.news[0].id.name == "a");
-    CHECK(message.news[0].state == swim::State::suspect);
-    CHECK(message.news[0].incarnation == 6);
-
-    const auto digest = there_and_back(counts::Digest{
-        1, 9, {2, 3, 4}, {5, 6, 7}, {100s, 100s - 1500us, 0s}, {{2, 8, {"t", "c"}, counts::Outcome::left}}});
+    REQUIRE(message.updates.size() == 1);
+    CHECK(message.updates[0].id.name == "a");
+    CHECK(message.updates[0].state == swim::State::suspect);
+    CHECK(message.updates[0].incarnation == 6);
+
+    const auto digest = there_and_back(counts::Digest{1,
+                                                      9,
+                                                      {2, 3, 4},
+                                                      {5, 6, 7},
+                                                      {100s, 100s - 1500us, 0s},
+                                                      {{2, 8, {"t", "c"}, counts::Outcome::client_left}}});
     CHECK(digest.keys == std::vector<std::uint64_t>{2, 3, 4});
     CHECK(digest.as_of[0] == 100s);
     CHECK(digest.as_of[1] == 100s - 2ms); // rounded to the older side: a bound must not shrink by it
     CHECK(digest.as_of[2] == 0s);
-    CHECK(digest.raises[0].name == counts::Name{"t", "c"});
+    CHECK(digest.fold_corrections[0].name == counts::Name{"t", "c"});
 
-    CHECK(there_and_back(Wants{{1, 2, true}, {3, 4, false}})[0].unknown);
+    CHECK(there_and_back(DeltaRequest{{1, 2, true}, {3, 4, false}})[0].unknown);
 
     const auto delta = there_and_back(counts::Delta{{{{"i", 1, 2, 3}}},
                                                     {{1, 2, 3, 4s, 1, 1, 1}},
@@ -57,27 +61,27 @@
     const auto size = [](const counts::Delta& delta) { return encode(Frame{1, 2, 3s, delta}).size(); };
     counts::Delta delta;
     const std::size_t empty = size(delta);
-    CHECK(empty <= counts::cost::message);
+    CHECK(empty <= counts::max_encoded_bytes::message);
     const auto grows = [&](auto add, std::size_t cost) {
         counts::Delta more;
         for (int i = 0; i < 20; ++i)
             add(more, i);
-        CHECK(size(more) <= counts::cost::message + 20 * cost);
+        CHECK(size(more) <= counts::max_encoded_bytes::message + 20 * cost);
     };
-    using counts::cost::cell;
-    grows([](auto& d, int) { d.sections.push_back({}); }, counts::cost::section);
+    using counts::max_encoded_bytes::cell;
+    grows([](auto& d, int) { d.sections.push_back({}); }, counts::max_encoded_bytes::section);
     grows([](auto& d, int) { d.cells.push_back({}); }, cell);
-    grows([](auto& d, int) { d.marks.push_back({}); }, counts::cost::mark);
+    grows([](auto& d, int) { d.marks.push_back({}); }, counts::max_encoded_bytes::mark);
     grows(
         [&](auto& d, int i) {
             d.series.push_back({1, {tenant + std::to_string(10 + i), job_class}});
         },
-        counts::cost::series + 22 + 12);
+        counts::max_encoded_bytes::series + 22 + 12);
     grows(
         [&](auto& d, int i) {
             d.introductions.push_back({{instance + std::to_string(10 + i), 1, 2, 3}});
         },
-        counts::cost::introduction + 18);
+        counts::max_encoded_bytes::introduction + 18);
 }
 
 TEST_CASE("no byte changed or missing makes a decoder do harm") {
@@ -122,12 +126,12 @@
     const Sealer one({key(1, 7)}), two({key(2, 9), key(1, 7)}), other({key(1, 8)}), none({key(3, 7)});
     const Bytes plain{1, 2, 3};
     const Bytes sealed = one.seal(plain);
-    CHECK(sealed.size() == plain.size() + Sealer::overhead);
+    CHECK(sealed.size() == plain.size() + Sealer::overhead_bytes);
     CHECK(one.open(sealed).plain == plain);
     CHECK(two.open(sealed).plain == plain); // both keys are good during a change
-    CHECK(one.open(two.seal(plain)).cause == Dropped::unknown_key);
-    CHECK(other.open(sealed).cause == Dropped::forged);
-    CHECK(none.open(sealed).cause == Dropped::unknown_key);
+    CHECK(one.open(two.seal(plain)).cause == DropReason::unknown_key);
+    CHECK(other.open(sealed).cause == DropReason::forged);
+    CHECK(none.open(sealed).cause == DropReason::unknown_key);
     CHECK(one.seal(plain) != sealed); // a nonce of its own each time
     for (std::size_t at = 0; at < sealed.size(); ++at) {
         Bytes bad = sealed;
@@ -138,8 +142,8 @@
         CHECK_FALSE(one.open(std::span(sealed).first(size)).good);
     Bytes newer = sealed;
     newer[1] = 2;
-    CHECK(one.open(newer).cause == Dropped::unknown_format);
-    CHECK(one.open(Bytes(2000, 0x57)).cause == Dropped::malformed);
+    CHECK(one.open(newer).cause == DropReason::unknown_format);
+    CHECK(one.open(Bytes(2000, 0x57)).cause == DropReason::malformed);
 }
 
 TEST_CASE("each count of a sender is taken once, in whatever order they come") {
--- a/tests/scheduler/gossip/mesh_test.cpp
+++ b/tests/scheduler/gossip/mesh_test.cpp
@@ -55,7 +55,7 @@
     Frame frame(std::uint64_t count, net::Duration sent_ahead = 0s) const {
         const swim::Address address{0x7f000001, 9};
         return {77, count, loop.now() + sent_ahead,
-                swim::Message{.kind = swim::Kind::sync, .news = {{{"other", 77}, address}}}};
+                swim::Message{.kind = swim::MessageKind::sync, .updates = {{{"other", 77}, address}}}};
     }
     void send(Mesh& mesh, const Bytes& datagram) {
         const net::Endpoint to = mesh.address();
@@ -66,7 +66,7 @@
             loop.run_once(1ms);
         REQUIRE(mesh.counters().received == before + 1);
     }
-    static std::uint64_t dropped(const Mesh& mesh, Dropped cause) {
+    static std::uint64_t dropped(const Mesh& mesh, DropReason cause) {
         return mesh.counters().dropped[static_cast<std::size_t>(cause)];
     }
 
@@ -83,7 +83,7 @@
     Mesh mesh(rig.loop, rig.site, "self");
     const Sealer good = Rig::sealer(5, 1);
     std::uint64_t all = 0;
-    const auto drops = [&](Dropped cause, const Bytes& datagram) {
+    const auto drops = [&](DropReason cause, const Bytes& datagram) {
         const std::uint64_t before = Rig::dropped(mesh, cause);
         rig.send(mesh, datagram);
         std::uint64_t sum = 0;
@@ -93,30 +93,30 @@
         CHECK(Rig::dropped(mesh, cause) == before + 1);
         CHECK(mesh.node().members().others().empty());
     };
-    drops(Dropped::malformed, Bytes(10, 'x'));
-    drops(Dropped::malformed, good.seal(Bytes(100, 0)));
-    drops(Dropped::forged, Rig::sealer(5, 2).seal(encode(rig.frame(1))));
-    drops(Dropped::unknown_key, Rig::sealer(6, 1).seal(encode(rig.frame(1))));
+    drops(DropReason::malformed, Bytes(10, 'x'));
+    drops(DropReason::malformed, good.seal(Bytes(100, 0)));
+    drops(DropReason::forged, Rig::sealer(5, 2).seal(encode(rig.frame(1))));
+    drops(DropReason::unknown_key, Rig::sealer(6, 1).seal(encode(rig.frame(1))));
     Bytes newer = good.seal(encode(rig.frame(1)));
     newer[1] = 9;
-    drops(Dropped::unknown_format, newer);
-    drops(Dropped::too_old, good.seal(encode(rig.frame(1, -31s))));
-    drops(Dropped::too_old, good.seal(encode(rig.frame(1, 31s))));
+    drops(DropReason::unknown_format, newer);
+    drops(DropReason::too_old, good.seal(encode(rig.frame(1, -31s))));
+    drops(DropReason::too_old, good.seal(encode(rig.frame(1, 31s))));
     Frame own = rig.frame(1);
     own.life = mesh.node().members().self().id.life;
-    drops(Dropped::own, good.seal(encode(own)));
+    drops(DropReason::own, good.seal(encode(own)));
     rig.site.mesh->networks = {};
     rig.site.mesh->networks.add("10.0.0.0/8");
-    mesh.set(rig.site);
-    drops(Dropped::foreign_network, good.seal(encode(rig.frame(1))));
+    mesh.update_settings(rig.site);
+    drops(DropReason::foreign_network, good.seal(encode(rig.frame(1))));
     rig.site.mesh->networks.add("127.0.0.0/8");
-    mesh.set(rig.site);
+    mesh.update_settings(rig.site);
 
     const Bytes taken = good.seal(encode(rig.frame(1)));
     rig.send(mesh, taken);
     CHECK(mesh.node().members().others().size() == 1);
     rig.send(mesh, taken);
-    CHECK(Rig::dropped(mesh, Dropped::replayed) == 1);
+    CHECK(Rig::dropped(mesh, DropReason::replayed) == 1);
 }
 
 TEST_CASE("a second run of one instance waits for the address, and has what the first one wrote last") {
@@ -127,9 +127,9 @@
     CHECK_THROWS_AS(Mesh(rig.loop, rig.site, "self"), std::system_error); // no upgrade: an error at the start
     Mesh second(rig.loop, rig.site, "self", true);
     CHECK_FALSE(second.is_open());
-    CHECK(second.node().book().self().number > 0);
-    first->node().book().count(first->node().book().series("a", "c"), counts::Outcome::served);
-    second.node().book().count(second.node().book().series("a", "c"), counts::Outcome::served);
+    CHECK(second.node().count_store().self().number > 0);
+    first->node().count_store().count(first->node().count_store().series("a", "c"), counts::Outcome::served);
+    second.node().count_store().count(second.node().count_store().series("a", "c"), counts::Outcome::served);
     bool gone = false;
     first->leave([&] { gone = true; });
     for (int i = 0; i < 5000 && !gone; ++i)
@@ -139,7 +139,7 @@
     for (int i = 0; i < 5000 && !second.is_open(); ++i)
         rig.loop.run_once(1ms);
     REQUIRE(second.is_open());
-    CHECK(second.node().book().low("a", "c", counts::Outcome::served) == 2);
+    CHECK(second.node().count_store().low_total("a", "c", counts::Outcome::served) == 2);
 }
 
 // The one place where two threads of the program meet; `.ci/run` runs it under ThreadSanitizer, too.
@@ -179,27 +179,27 @@
     std::uint64_t number = 0;
     {
         Mesh mesh(rig.loop, rig.site, "self");
-        mesh.node().book().count(mesh.node().book().series("a", "c"), counts::Outcome::served);
+        mesh.node().count_store().count(mesh.node().count_store().series("a", "c"), counts::Outcome::served);
         for (int i = 0; i < 5000 && mesh.snapshots_written() < 2; ++i)
             rig.loop.run_once(1ms);
         REQUIRE(mesh.snapshots_written() >= 2);
-        number = mesh.node().book().self().number;
+        number = mesh.node().count_store().self().number;
     }
     const std::string file = rig.folder + "/counts-self.state";
     {
         Mesh mesh(rig.loop, rig.site, "self");
-        CHECK(mesh.node().book().low("a", "c", counts::Outcome::served) == 1);
-        CHECK(mesh.node().book().self().number > number);
+        CHECK(mesh.node().count_store().low_total("a", "c", counts::Outcome::served) == 1);
+        CHECK(mesh.node().count_store().self().number > number);
     }
     std::filesystem::resize_file(file, std::filesystem::file_size(file) - 1);
     {
         Mesh mesh(rig.loop, rig.site, "self");
-        CHECK(mesh.node().book().lives() == 1);
+        CHECK(mesh.node().count_store().life_count() == 1);
         CHECK(std::filesystem::exists(file + ".aside"));
     }
     std::ofstream(file) << "not ours";
     Mesh mesh(rig.loop, rig.site, "self");
-    CHECK(mesh.node().book().lives() == 1);
+    CHECK(mesh.node().count_store().life_count() == 1);
 }
 
 } // namespace
--- a/tests/scheduler/gossip/node_test.cpp
+++ b/tests/scheduler/gossip/node_test.cpp
@@ -15,10 +15,10 @@
 World::Options options(std::uint64_t seed) {
     World::Options out;
     out.link = {.delay_least = 1ms, .delay_most = 10ms};
-    out.node.members = {.period = 1s, .timeout = 200ms, .forget_after = 3600s};
-    out.node.counts = true;
+    out.node.members = {.probe_period = 1s, .probe_timeout = 200ms, .forget_after = 3600s};
+    out.node.counts_enabled = true;
     out.node.limits = {.max_skew = 50ms, .fold_after = 30s};
-    out.node.interval = 250ms;
+    out.node.exchange_interval = 250ms;
     out.node.rate = 1000;
     out.node.burst = 1000;
     out.node.bytes_per_second = 1'000'000;
@@ -35,7 +35,7 @@
     REQUIRE(world.run_until_done(
         [&] {
             for (std::size_t i = 0; i < size; ++i)
-                if (world.node(i).book().lives() < size) return false;
+                if (world.node(i).count_store().life_count() < size) return false;
             return true;
         },
         100ms, 60s));
@@ -43,7 +43,7 @@
 
 struct Watch { // of one instance: no total falls, none passes the truth, and the bounds hold
     void look(World& world, std::size_t at, bool also_high = true) {
-        const counts::Totals totals = world.node(at).book().totals(world.now_of(at));
+        const counts::Totals totals = world.node(at).count_store().totals(world.now_of(at));
         for (std::uint32_t tenant = 0; tenant < tenants; ++tenant) {
             std::uint64_t low = 0;
             for (const counts::Total& row : totals.rows)
@@ -69,9 +69,9 @@
     if (!world.agree()) return false;
     for (std::size_t i = 0; i < world.size(); ++i) {
         if (!world.up(i)) continue;
-        world.node(i).book().seal(world.now_of(i));
+        world.node(i).count_store().publish(world.now_of(i));
         for (std::uint32_t tenant = 0; tenant < tenants; ++tenant)
-            if (world.node(i).book().low(World::tenant_name(tenant), "jobs", Outcome::served) !=
+            if (world.node(i).count_store().low_total(World::tenant_name(tenant), "jobs", Outcome::served) !=
                 world.truth(tenant))
                 return false;
     }
@@ -95,7 +95,7 @@
     world.run_for(5s);
     for (std::size_t i = 0; i < 5; ++i) {
         std::uint64_t low = 0;
-        for (const counts::Total& row : world.node(i).book().totals(world.now_of(i)).rows)
+        for (const counts::Total& row : world.node(i).count_store().totals(world.now_of(i)).rows)
             low += row.low;
         CHECK(static_cast<double>(low) >= 0.98 * static_cast<double>(truth));
     }
@@ -128,7 +128,7 @@
     world.run_for(4s); // it is dead to the others until a word of theirs reaches it
     for (std::size_t i = 0; i < 5; ++i) {
         std::uint64_t low = 0;
-        for (const counts::Total& row : world.node(i).book().totals(world.now_of(i)).rows)
+        for (const counts::Total& row : world.node(i).count_store().totals(world.now_of(i)).rows)
             low += row.low;
         CHECK(static_cast<double>(low) >= 0.98 * static_cast<double>(truth));
     }
@@ -189,7 +189,7 @@
         }
         const bool with_state = world.random()(2) == 0;
         if (with_state) world.save(at);
-        folds += world.node(at).book().statistics().folds;
+        folds += world.node(at).count_store().statistics().folds;
         world.kill(at);
         world.run_for(Time(static_cast<std::int64_t>(world.random()(1500)) * 1'000'000));
         world.restart(at, with_state);
@@ -199,14 +199,14 @@
     CHECK(world.run_until_done([&] { return world.agree(); }, 250ms, 60s));
     const auto sum = [&](std::size_t at) {
         std::uint64_t low = 0;
-        for (const counts::Total& row : world.node(at).book().totals(world.now_of(at)).rows)
+        for (const counts::Total& row : world.node(at).count_store().totals(world.now_of(at)).rows)
             low += row.low;
         return low;
     };
     for (std::size_t i = 0; i < 4; ++i) {
         CHECK(sum(i) == sum(0));
-        CHECK(world.node(i).book().lives() <= 8); // not a hundred: former lives are folded
-        folds += world.node(i).book().statistics().folds;
+        CHECK(world.node(i).count_store().life_count() <= 8); // not a hundred: former lives are folded
+        folds += world.node(i).count_store().statistics().folds;
     }
     CHECK(folds > 10);
     // Lost with a life is at most what it counted since its last exchange or so.
@@ -224,7 +224,8 @@
         count_some(world);
     }
     CHECK(world.run_until_done([&] { return agreed(world); }, 250ms, 20s));
-    CHECK(world.node(1).book().statistics().folds + world.node(3).book().statistics().folds == 0);
+    CHECK(world.node(1).count_store().statistics().folds + world.node(3).count_store().statistics().folds ==
+          0);
     CHECK(world.node(0).members().statistics().conflicts > 0);
 }
 
@@ -250,7 +251,7 @@
             for (const auto& [id, member] : world.node(0).members().others())
                 if (id.name == "i1") highest = std::max(highest, id.life);
             return world.node(1).members().self().id.life == highest &&
-                   world.node(1).book().rival() <= highest;
+                   world.node(1).count_store().rival() <= highest;
         };
         CHECK(world.run_until_done(in_order, 100ms, 20s));
     }
@@ -265,7 +266,7 @@
     world.kill(2);
     world.run_for(3s);
     CHECK(agreed(world));
-    const counts::Totals totals = world.node(0).book().totals(world.now());
+    const counts::Totals totals = world.node(0).count_store().totals(world.now());
     CHECK(totals.slack < 3 * 1500); // it counts no more, and needs no allowance
 }
 
--- a/tests/scheduler/swim/members_test.cpp
+++ b/tests/scheduler/swim/members_test.cpp
@@ -12,8 +12,8 @@
 World::Options options(std::uint64_t seed, double loss = 0) {
     World::Options out;
     out.link = {.loss = loss, .delay_least = 1ms, .delay_most = 20ms};
-    out.node.members = {.period = 1s, .timeout = 200ms, .forget_after = 3600s, .seeds = {}};
-    out.node.interval = 3600s;
+    out.node.members = {.probe_period = 1s, .probe_timeout = 200ms, .forget_after = 3600s, .seeds = {}};
+    out.node.exchange_interval = 3600s;
     out.seed = seed;
     return out;
 }
@@ -148,13 +148,14 @@
 }
 
 TEST_CASE("news from outside cannot grow the view past its bound, nor be against the rules") {
-    Swim swim({.period = 1s, .timeout = 100ms, .max_members = 10, .seeds = {}}, {"self", 1}, {1, 1}, 1, 0s);
-    Message message{.kind = Kind::sync};
+    Swim swim({.probe_period = 1s, .probe_timeout = 100ms, .max_members = 10, .seeds = {}}, {"self", 1},
+              {1, 1}, 1, 0s);
+    Message message{.kind = MessageKind::sync};
     for (std::uint32_t i = 0; i < 100; ++i)
-        message.news.push_back({{"m" + std::to_string(i), i + 1}, {i + 2, 1}});
-    message.news.push_back({{"", 1}, {1, 1}});
-    message.news.push_back({{"x", 0}, {1, 1}});
-    message.news.push_back({{std::string(100, 'x'), 1}, {1, 1}});
+        message.updates.push_back({{"m" + std::to_string(i), i + 1}, {i + 2, 1}});
+    message.updates.push_back({{"", 1}, {1, 1}});
+    message.updates.push_back({{"x", 0}, {1, 1}});
+    message.updates.push_back({{std::string(100, 'x'), 1}, {1, 1}});
     Actions out;
     swim.receive(0s, {2, 1}, message, out);
     CHECK(swim.others().size() == 9);
@@ -162,16 +163,17 @@
 }
 
 TEST_CASE("one that is told of its own death raises its incarnation above it") {
-    Swim swim({.period = 1s, .timeout = 100ms, .seeds = {}}, {"self", 1}, {1, 1}, 1, 0s);
+    Swim swim({.probe_period = 1s, .probe_timeout = 100ms, .seeds = {}}, {"self", 1}, {1, 1}, 1, 0s);
     Actions out;
-    swim.receive(0s, {2, 1},
-                 {.kind = Kind::ping, .sequence = 5, .news = {{{"self", 1}, {1, 1}, State::dead, 7}}}, out);
+    swim.receive(
+        0s, {2, 1},
+        {.kind = MessageKind::ping, .sequence = 5, .updates = {{{"self", 1}, {1, 1}, State::dead, 7}}}, out);
     CHECK(swim.self().incarnation == 8);
     REQUIRE(out.sends.size() == 1);
-    CHECK(out.sends[0].message.kind == Kind::ack);
+    CHECK(out.sends[0].message.kind == MessageKind::ack);
     CHECK(out.sends[0].message.sequence == 5);
-    REQUIRE(out.sends[0].message.news.size() == 1);
-    CHECK(out.sends[0].message.news[0].incarnation == 8);
+    REQUIRE(out.sends[0].message.updates.size() == 1);
+    CHECK(out.sends[0].message.updates[0].incarnation == 8);
 }
 
 } // namespace
