--- a/src/scheduler/counts/wire.cpp
+++ b/src/scheduler/counts/wire.cpp
@@ -14,7 +14,7 @@
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     const std::uint64_t own = (static_cast<std::uint64_t>(std::max<std::int64_t>(milliseconds, 0)) << bits) |
                               (random & ((1U << bits) - 1));
-    // Past `last` by a random step, for the same reason that the number has random bits.
+    // The random step beyond `last` keeps two instances of one name apart here, too.
     return std::max(own, last + 1 + (random & ((1U << bits) - 1)));
 }
 
--- a/src/scheduler/counts/wire.h
+++ b/src/scheduler/counts/wire.h
@@ -1,4 +1,4 @@
-// What two books tell each other, as plain values. `mesh` makes datagrams of them.
+// The messages that count stores exchange, as plain values. `gossip::encode` turns them into datagrams.
 #pragma once
 
 #include <chrono>
@@ -9,38 +9,39 @@
 namespace willowrill::counts {
 
 using Duration = std::chrono::nanoseconds;
-using Time = std::chrono::nanoseconds; // since the Unix epoch, by the clock of whoever states it
+using Time = std::chrono::nanoseconds; // since the Unix epoch, by the clock of the sender
 
-// How a message ended, as its client saw it.
+// How a job ended, from its client's point of view.
 enum class Outcome : std::uint8_t { served, refused, failed, client_left };
 inline constexpr std::size_t outcome_count = 4;
 
+// The name of a series of counters.
 struct Name {
     std::string tenant{}, job_class{};
     bool operator==(const Name&) const = default;
 };
 
-// A life of an instance, from start to end, and what it declares: between two times t apart it never counts
-// more than `burst + rate * t`.
+// Identifies one life of an instance, that is, one run of its process, and declares its rate limit: within
+// any interval of t seconds the life counts at most `burst + rate * t` jobs.
 struct Identity {
     std::string instance{};
-    std::uint64_t number = 0; // grows with each life of an instance, see `next_number`
-    std::uint64_t rate = 0;   // a second
+    std::uint64_t number = 0; // increases with each life of an instance, see `next_number`
+    std::uint64_t rate = 0;   // per second
     std::uint64_t burst = 0;
-    std::uint64_t key() const; // a hash of instance and number, by which the life is known in messages
+    std::uint64_t key() const; // hash of instance and number; identifies the life in messages
 };
 
-// What a cell, and a declaration, may hold at most: with them no sum over any fleet leaves 64 bits. A section
-// or an introduction with more is against the rules.
-inline constexpr std::uint64_t largest_cell = std::uint64_t{1} << 44U;
-inline constexpr std::uint64_t largest_rate = 10'000'000, largest_burst = 100'000'000;
+// Upper bounds of cell values and declared limits, so that sums over a fleet fit into 64 bits. Sections and
+// introductions that exceed them are rejected.
+inline constexpr std::uint64_t max_cell_value = std::uint64_t{1} << 44U;
+inline constexpr std::uint64_t max_rate = 10'000'000, max_burst = 100'000'000;
 
-// The start's time in milliseconds and 20 random bits, so that two instances of one name do not share a life;
-// above `last`, whatever the clock says.
+// Returns the number of a new life: the start time in milliseconds followed by 20 random bits, so that two
+// instances of one name get different numbers. The result is greater than `last`, whatever the clock says.
 std::uint64_t next_number(Time now, std::uint32_t random, std::uint64_t last);
 
-// A slot of a life's cells: its own numbering of (tenant, class), eight slots to each: the four outcomes, and
-// behind them the same for what it has folded of former lives.
+// The index of a cell within a life. Each series of the life has eight slots: one per outcome for the life's
+// own counts, then one per outcome for the counts folded from earlier lives.
 using Slot = std::uint32_t;
 inline constexpr Slot slots_per_series = 8;
 constexpr Slot slot_of(std::uint32_t series, Outcome outcome, bool folded = false) {
@@ -48,71 +49,77 @@
            static_cast<Slot>(outcome);
 }
 
-// Everything that a life states has a version of its own, ascending; a section holds them in that order, so
-// that whatever part of it arrives is a whole up to its last version.
-struct CellNews {
+// Each change of a life has its own, ascending version. A section lists changes in that order, so that any
+// prefix of it is complete up to the version of its last change.
+struct CellUpdate {
     std::uint64_t value = 0;
     Slot slot = 0;
-    std::uint32_t after = 0; // version, counted from the section's `from`
+    std::uint32_t version_offset = 0; // version minus the section's `from`
 };
-struct SeriesNews {
-    std::uint32_t after = 0;
+struct SeriesUpdate {
+    std::uint32_t version_offset = 0;
     Name name{};
 };
 enum class MarkKind : std::uint32_t {
-    cover,  // folded cells stated from here on hold the lives of this instance up to `number`
-    folded, // all of these cells have been stated
-    ended   // this life counts no more
+    cover,  // folded cells with later versions include the lives of this instance up to `number`
+    folded, // all folded cells of the lives up to `number` have been published
+    ended   // the life has ended and counts no more
 };
+// A change of a life's status.
 struct Mark {
     std::uint64_t number = 0;
     MarkKind kind{};
-    std::uint32_t after = 0;
+    std::uint32_t version_offset = 0;
 };
 
+// Introduces a life to a receiver that may not know it.
 struct Introduction {
     Identity identity{};
 };
 
-// Of one life: all that has changed in versions (from, to].
+// All changes of one life with versions in (from, to].
 struct Section {
     std::uint64_t key = 0, from = 0, to = 0;
-    Time as_of{0}; // the life has stated all that it had counted by then; 0 where the section was cut short
-    std::uint32_t cells = 0, series = 0, marks = 0; // how many of the delta's lists are its own, in order
+    Time as_of{0}; // everything counted before this time is included; 0 if the section is truncated
+    // How many entries of the delta's lists belong to this section. Sections consume the lists in order.
+    std::uint32_t cell_count = 0, series_count = 0, mark_count = 0;
 };
 
+// Changes of one or more lives, sent in one datagram.
 struct Delta {
-    std::vector<Introduction> introductions{}; // of lives of which the receiver may not know
+    std::vector<Introduction> introductions{}; // of lives that the receiver may not know
     std::vector<Section> sections{};
-    std::vector<CellNews> cells{};
-    std::vector<SeriesNews> series{};
+    std::vector<CellUpdate> cells{};
+    std::vector<SeriesUpdate> series{};
     std::vector<Mark> marks{};
 };
 
-// What folded lives have counted, where that is more than the life that folded them has stated: a member was
-// away for so long that it was forgotten, and knew more. Told to all until that life states as much.
-struct Raise {
-    std::uint64_t key = 0; // of the life that folded them
+// Corrects a folded cell that is too low: a member that was unreachable during the fold, and long enough to
+// be removed from the membership, knew a higher value. Corrections are sent to all members until the folding
+// life publishes at least this value.
+struct FoldCorrection {
+    std::uint64_t key = 0; // of the life whose folded cell is corrected
     std::uint64_t value = 0;
     Name name{};
     Outcome outcome{};
 };
 
-// What a book knows of all lives whose keys lie in [first, last].
+// The versions that a store has of all lives with keys in [first, last].
 struct Digest {
     std::uint64_t first = 0, last = ~std::uint64_t{0};
     std::vector<std::uint64_t> keys{}, versions{};
     std::vector<Time> as_of{};
-    std::vector<Raise> fold_corrections{};
+    std::vector<FoldCorrection> fold_corrections{};
 };
 
-// The version of a life that somebody has; `unknown`: nothing at all, not even who it is.
+// The version of a life that a store has. `unknown`: the store does not know the life at all.
 struct KnownVersion {
     std::uint64_t key = 0, version = 0;
     bool unknown = false;
 };
 
-// What the parts of a delta cost in a datagram, in bytes; measured on the codec and checked by its tests.
+// Upper bounds of the encoded sizes of a delta's parts, in bytes, without names. The tests of the codec check
+// them.
 namespace max_encoded_bytes {
 inline constexpr std::size_t message = 96, section = 48, cell = 16, series = 44, mark = 16, introduction = 72;
 }
--- a/src/scheduler/gossip/frame.cpp
+++ b/src/scheduler/gossip/frame.cpp
@@ -30,22 +30,22 @@
     std::vector<wire::Section> sections;
     sections.reserve(delta.sections.size());
     for (const counts::Section& one : delta.sections)
-        sections.emplace_back(one.key, one.from, one.to, one.as_of.count(), one.cells, one.series, one.marks,
+        sections.emplace_back(one.key, one.from, one.to, one.as_of.count(), one.cell_count, one.series_count, one.mark_count,
                               0);
-    std::vector<wire::CellNews> cells;
+    std::vector<wire::CellUpdate> cells;
     cells.reserve(delta.cells.size());
-    for (const counts::CellNews& one : delta.cells)
-        cells.emplace_back(one.value, one.slot, one.after);
-    std::vector<Offset<wire::SeriesNews>> series;
+    for (const counts::CellUpdate& one : delta.cells)
+        cells.emplace_back(one.value, one.slot, one.version_offset);
+    std::vector<Offset<wire::SeriesUpdate>> series;
     series.reserve(delta.series.size());
-    for (const counts::SeriesNews& one : delta.series) {
-        series.push_back(wire::CreateSeriesNews(to, one.after, to.CreateSharedString(one.name.tenant),
+    for (const counts::SeriesUpdate& one : delta.series) {
+        series.push_back(wire::CreateSeriesUpdate(to, one.version_offset, to.CreateSharedString(one.name.tenant),
                                                 to.CreateSharedString(one.name.job_class)));
     }
     std::vector<wire::Mark> marks;
     marks.reserve(delta.marks.size());
     for (const counts::Mark& one : delta.marks)
-        marks.emplace_back(one.number, static_cast<std::uint32_t>(one.kind), one.after);
+        marks.emplace_back(one.number, static_cast<std::uint32_t>(one.kind), one.version_offset);
     const auto all_introductions = introductions.empty() ? 0 : to.CreateVector(introductions);
     const auto all_sections = to.CreateVectorOfStructs(sections);
     const auto all_cells = cells.empty() ? 0 : to.CreateVectorOfStructs(cells);
@@ -64,10 +64,10 @@
         before.push_back(as_of.count() == 0 || older >= no_as_of ? no_as_of
                                                                  : static_cast<std::uint32_t>(older));
     }
-    std::vector<Offset<wire::Raise>> raises;
+    std::vector<Offset<wire::FoldCorrection>> raises;
     raises.reserve(digest.fold_corrections.size());
-    for (const counts::Raise& one : digest.fold_corrections) {
-        raises.push_back(wire::CreateRaise(to, one.key, one.value, to.CreateString(one.name.tenant),
+    for (const counts::FoldCorrection& one : digest.fold_corrections) {
+        raises.push_back(wire::CreateFoldCorrection(to, one.key, one.value, to.CreateString(one.name.tenant),
                                            to.CreateString(one.name.job_class),
                                            static_cast<std::uint8_t>(one.outcome)));
     }
@@ -148,23 +148,23 @@
         each(from.sections(),
              [&](const wire::Section* one) {
                  out.sections.push_back({one->key(), one->from(), one->to(), counts::Time(one->as_of()),
-                                         one->cells(), one->series(), one->marks()});
+                                         one->cell_count(), one->series_count(), one->mark_count()});
                  return one->as_of() >= 0;
              }) &&
         each(from.cells(),
-             [&](const wire::CellNews* one) {
-                 out.cells.push_back({one->value(), one->slot(), one->after()});
+             [&](const wire::CellUpdate* one) {
+                 out.cells.push_back({one->value(), one->slot(), one->version_offset()});
                  return true;
              }) &&
         each(from.series(),
-             [&](const wire::SeriesNews* one) {
+             [&](const wire::SeriesUpdate* one) {
                  auto name = name_of(one->tenant(), one->job_class());
                  if (!name) return false;
-                 out.series.push_back({one->after(), std::move(*name)});
+                 out.series.push_back({one->version_offset(), std::move(*name)});
                  return true;
              }) &&
         each(from.marks(), [&](const wire::Mark* one) {
-            out.marks.push_back({one->number(), static_cast<counts::MarkKind>(one->kind()), one->after()});
+            out.marks.push_back({one->number(), static_cast<counts::MarkKind>(one->kind()), one->version_offset()});
             return one->kind() <= static_cast<std::uint32_t>(counts::MarkKind::ended);
         });
     return good ? std::optional(std::move(out)) : std::nullopt;
@@ -183,7 +183,7 @@
     const counts::Time latest(from.latest());
     for (const std::uint32_t older : *before)
         out.as_of.push_back(older == no_as_of ? counts::Time(0) : latest - milliseconds(older));
-    const bool good = each(from.fold_corrections(), [&](const wire::Raise* one) {
+    const bool good = each(from.fold_corrections(), [&](const wire::FoldCorrection* one) {
         auto name = name_of(one->tenant(), one->job_class());
         if (!name || one->outcome() >= counts::outcome_count) return false;
         out.fold_corrections.push_back(
--- a/src/scheduler/gossip/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -39,8 +39,8 @@
     out.bytes_per_second = mesh.bytes_per_second;
     out.members = {.probe_period = mesh.probe_period,
                    .probe_timeout = mesh.probe_timeout,
-                   .indirect = mesh.indirect,
-                   .suspicion = mesh.suspicion,
+                   .indirect_probe_count = mesh.indirect,
+                   .suspicion_multiplier = mesh.suspicion,
                    .forget_after = mesh.forget_after,
                    .max_members = mesh.max_members,
                    .seeds = {}};
@@ -194,13 +194,13 @@
         ++counters_.sent;
         counters_.sent_bytes += sealed.size();
     }
-    for (const swim::Change& change : node_->take_changes()) {
+    for (const swim::StateChange& change : node_->take_changes()) {
         const std::string_view state = swim::name_of(change.member.state);
         log::event(spdlog::level::info, "members.changed",
                    {{"member", change.member.id.name},
                     {"life", change.member.id.life},
                     {"state", state},
-                    {"was", change.was ? swim::name_of(*change.was) : "unknown"}},
+                    {"was", change.previous_state ? swim::name_of(*change.previous_state) : "unknown"}},
                    "members: " + change.member.id.name + " is " + std::string(state));
     }
     arm();
--- a/src/scheduler/gossip/node.cpp
+++ b/src/scheduler/gossip/node.cpp
@@ -33,7 +33,7 @@
 }
 
 std::vector<OutgoingFrame> Node::take_sends() { return std::exchange(sends_, {}); }
-std::vector<swim::Change> Node::take_changes() { return std::exchange(changes_, {}); }
+std::vector<swim::StateChange> Node::take_changes() { return std::exchange(changes_, {}); }
 
 // Membership goes out in any case: it is little, and without it the others would take this one for dead.
 bool Node::afford(Time now, std::size_t bytes) {
@@ -55,7 +55,7 @@
 }
 
 void Node::collect(swim::Actions& actions, Time now) {
-    for (swim::Send& send : actions.sends)
+    for (swim::OutgoingMessage& send : actions.sends)
         say(send.to, std::move(send.message), now);
     std::ranges::move(actions.changes, std::back_inserter(changes_));
 }
@@ -82,14 +82,14 @@
     }
     if (settings_.counts_enabled && now >= next_fold_) {
         next_fold_ = now + fold_pause;
-        book_.fold(now, swim_.someone_away());
+        book_.fold(now, swim_.has_unreachable_member());
         new_life_if_rivalled(now);
     }
 }
 
 void Node::exchange(Time now) {
     book_.publish(now);
-    const auto peer = swim_.random_alive();
+    const auto peer = swim_.random_alive_address();
     if (!peer) return;
     ++statistics_.exchanges;
     const std::size_t entries = (settings_.max_frame_bytes - frame_head) / digest_entry;
@@ -109,13 +109,13 @@
         collect(actions, now);
         return;
     }
-    if (book_.rival() <= own) return;
-    const auto rival = swim_.others().find({swim_.self().id.name, book_.rival()});
+    if (book_.highest_other_life() <= own) return;
+    const auto rival = swim_.others().find({swim_.self().id.name, book_.highest_other_life()});
     // A living rival is a second instance of this name. Both count on, each in its own life.
     if (rival != swim_.others().end() && rival->second.state != swim::State::dead &&
         rival->second.state != swim::State::left)
         return;
-    book_.begin_life(counts::next_number(now, random_(), book_.rival()), now);
+    book_.begin_life(counts::next_number(now, random_(), book_.highest_other_life()), now);
     swim::Actions actions;
     swim_.begin_life(book_.self().number, now, actions);
     collect(actions, now);
@@ -156,7 +156,7 @@
 
 void Node::leave(Time now) {
     if (settings_.counts_enabled) {
-        book_.end(now);
+        book_.end_life(now);
         // To three, so that a loss does not take the last counts with it. They ask for what they lack:
         // whoever calls this goes on to receive for a moment.
         for (int i = 0; i < 3; ++i)
--- a/src/scheduler/gossip/node.h
+++ b/src/scheduler/gossip/node.h
@@ -45,7 +45,7 @@
 
     // What the calls above want sent, and what they saw change, since these were last asked for.
     std::vector<OutgoingFrame> take_sends();
-    std::vector<swim::Change> take_changes();
+    std::vector<swim::StateChange> take_changes();
 
     void update_settings(NodeSettings settings); // what a reload may change; the limits of the book stay
     counts::CountStore& count_store() { return book_; }
@@ -68,7 +68,7 @@
     double budget_ = 0; // bytes
     std::uint64_t count_ = 0;
     std::vector<OutgoingFrame> sends_;
-    std::vector<swim::Change> changes_;
+    std::vector<swim::StateChange> changes_;
     NodeStatistics statistics_;
 };
 
--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -129,7 +129,7 @@
     fleet.settle();
     for (std::size_t i = 0; i < 4; ++i)
         CHECK(fleet.low_total(i, "a") == 11);
-    CHECK(fleet.books[0]->rival() == fleet.books[3]->self().number);
+    CHECK(fleet.books[0]->highest_other_life() == fleet.books[3]->self().number);
     fleet.books[0]->fold(fleet.now, false);
     fleet.books[3]->fold(fleet.now, false); // the other one lives: nothing is folded
     CHECK(fleet.books[3]->statistics().folds == 0);
@@ -138,7 +138,7 @@
 TEST_CASE("a former life that has ended is folded, and no total moves by it") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
-    fleet.books[0]->end(fleet.now);
+    fleet.books[0]->end_life(fleet.now);
     fleet.settle();
     fleet.start(0, "i0");
     fleet.settle();
@@ -172,7 +172,7 @@
 TEST_CASE("a folded life that returns is not counted twice") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
-    fleet.books[0]->end(fleet.now);
+    fleet.books[0]->end_life(fleet.now);
     fleet.settle();
     const auto old = fleet.books[2]->save(datagram);
     fleet.start(0, "i0");
@@ -276,12 +276,12 @@
                fleet.low_total(1, "a") == 5;
     };
     CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));  // no such series
-    CHECK(bad([](Delta& d) { d.cells[0].after = 0; })); // not behind `from`
-    CHECK(bad([](Delta& d) { d.cells[0].after = 9; })); // behind `to`
+    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 0; })); // not behind `from`
+    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 9; })); // behind `to`
     CHECK(bad([](Delta& d) { d.cells.push_back(d.cells[0]); }));
     // Found by fuzzing: sums of such values left 64 bits.
-    CHECK(bad([](Delta& d) { d.cells[0].value = largest_cell + 1; }));
-    CHECK(bad([](Delta& d) { d.sections[0].cells = 2; }));
+    CHECK(bad([](Delta& d) { d.cells[0].value = max_cell_value + 1; }));
+    CHECK(bad([](Delta& d) { d.sections[0].cell_count = 2; }));
     CHECK(bad([](Delta& d) {
         d.sections[0].from = 7;
         d.sections[0].to = 9;
--- a/tests/scheduler/counts/property_test.cpp
+++ b/tests/scheduler/counts/property_test.cpp
@@ -103,7 +103,7 @@
                 saved[a] = fleet.books[a]->save(datagram);
                 break;
             default: // ends in order, and starts anew
-                fleet.books[a]->end(fleet.now);
+                fleet.books[a]->end_life(fleet.now);
                 exchange(*fleet.books[a], *fleet.books[(a + 1) % instances], fleet.now);
                 fleet.start(a, "i" + std::to_string(a));
                 seen[a].clear();
--- a/tests/scheduler/gossip/node_test.cpp
+++ b/tests/scheduler/gossip/node_test.cpp
@@ -121,7 +121,7 @@
     run(20);
     world.cut_off(2, true);
     run(300);
-    CHECK(world.node(0).members().someone_away());
+    CHECK(world.node(0).members().has_unreachable_member());
     world.cut_off(2, false);
     run(5);
     const std::uint64_t truth = world.truth();
@@ -251,7 +251,7 @@
             for (const auto& [id, member] : world.node(0).members().others())
                 if (id.name == "i1") highest = std::max(highest, id.life);
             return world.node(1).members().self().id.life == highest &&
-                   world.node(1).count_store().rival() <= highest;
+                   world.node(1).count_store().highest_other_life() <= highest;
         };
         CHECK(world.run_until_done(in_order, 100ms, 20s));
     }
--- a/tests/scheduler/swim/members_test.cpp
+++ b/tests/scheduler/swim/members_test.cpp
@@ -113,7 +113,7 @@
 TEST_CASE("a restart under the same name is told from its former life, at once") {
     World world(options(7));
     start(world, 5);
-    const Id former = world.node(3).members().self().id;
+    const MemberId former = world.node(3).members().self().id;
     world.kill(3);
     world.restart(3, false);
     world.run_for(5s);
@@ -121,7 +121,7 @@
     const auto& others = world.node(0).members().others();
     REQUIRE(others.contains(former));
     CHECK(others.at(former).state == State::dead);
-    CHECK_FALSE(world.node(0).members().someone_away());
+    CHECK_FALSE(world.node(0).members().has_unreachable_member());
 }
 
 TEST_CASE("two instances of one name are both members, and that is said") {
@@ -138,12 +138,12 @@
     settings.node.members.forget_after = 60s;
     World world(settings);
     start(world, 4);
-    CHECK_FALSE(world.node(0).members().someone_away());
+    CHECK_FALSE(world.node(0).members().has_unreachable_member());
     world.kill(1);
     world.run_for(40s);
-    CHECK(world.node(0).members().someone_away());
+    CHECK(world.node(0).members().has_unreachable_member());
     world.run_for(120s);
-    CHECK_FALSE(world.node(0).members().someone_away());
+    CHECK_FALSE(world.node(0).members().has_unreachable_member());
     CHECK(world.node(0).members().others().size() == 2);
 }
 
