--- a/src/scheduler/gossip/frame.h
+++ b/src/scheduler/gossip/frame.h
@@ -1,5 +1,5 @@
-// The frames that instances exchange, as values, and their form on the wire. Decoding takes bytes from
-// anywhere: what is not a frame is told apart by cause and has no effect.
+// The frames that instances exchange, and their encoding. Decoding accepts untrusted bytes and rejects
+// everything that is not a valid frame.
 #pragma once
 
 #include "scheduler/counts/wire.h"
@@ -20,26 +20,28 @@
 using DeltaRequest = std::vector<counts::KnownVersion>;
 using Body = std::variant<swim::Message, counts::Digest, DeltaRequest, counts::Delta>;
 
+// The content of one datagram: its sender's life and sequence number, the time by the sender's clock, and a
+// message.
 struct Frame {
-    std::uint64_t life = 0, count = 0; // of the sender; its datagrams' count ascends
-    Time sent{0};                      // by its clock
+    std::uint64_t life = 0, sequence_number = 0;
+    Time sent_at{0};
     Body body{};
 };
 
-// Of a datagram on the wire, all of it; below what any path carries unbroken.
+// The largest payload of a UDP datagram; small enough to avoid IP fragmentation.
 inline constexpr std::size_t max_datagram_bytes = 1200;
 
 Bytes encode(const Frame& frame);
-std::optional<Frame> decode(std::span<const unsigned char> bytes); // nothing: malformed
+std::optional<Frame> decode(std::span<const unsigned char> bytes); // empty if malformed
 
-// What survives a restart.
+// The counts of an instance, as saved for its next life.
 struct Snapshot {
     std::string instance{};
-    std::uint64_t number = 0;
-    Time saved{0};
+    std::uint64_t number = 0; // of the life that saved it
+    Time saved_at{0};
     std::vector<counts::Delta> deltas{};
 };
 Bytes encode(const Snapshot& snapshot);
-std::optional<Snapshot> decode_snapshot(std::span<const unsigned char> bytes);
+std::optional<Snapshot> decode_snapshot(std::span<const unsigned char> bytes); // empty if malformed
 
 } // namespace willowrill::gossip
--- a/src/scheduler/gossip/mesh.h
+++ b/src/scheduler/gossip/mesh.h
@@ -1,5 +1,5 @@
-// The carrier of a node: one UDP socket on the loop, timers on the wheel, the seal, and snapshots. What is
-// malformed, forged, replayed or foreign ends here, counted by cause.
+// Connects a `Node` to a UDP socket, timers, encryption and snapshots. Datagrams that are malformed, forged,
+// replayed or from foreign networks are dropped here and counted by reason.
 #pragma once
 
 #include "scheduler/gossip/node.h"
@@ -20,25 +20,26 @@
 
 struct MeshCounters {
     std::uint64_t received = 0, received_bytes = 0, sent = 0, sent_bytes = 0;
-    std::uint64_t unsent = 0; // the system had no room for them, or no way there
+    std::uint64_t unsent = 0; // rejected by the system, too large, or to a foreign network
     std::array<std::uint64_t, drop_reason_count> dropped{};
 };
 
 net::Endpoint endpoint_of(swim::Address address);
 
+// Runs on the thread of its event loop.
 class Mesh final : private net::Pollable {
   public:
-    // Throws std::system_error where the address cannot be had. `instance` is the name among the instances.
-    // `wait`: a former run of this instance still has the address; it is taken over when that one is gone,
-    // and until then this one counts without a word to anyone.
+    // `instance` is this instance's name among the instances. Throws std::system_error if the address cannot
+    // be bound. With `wait`, an address that is still in use by an earlier run of this instance is not an
+    // error: the mesh retries until the address is free, and counts without exchanging messages until then.
     Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait = false);
     ~Mesh() override;
 
-    void update_settings(const operator_config::Site&
-                             site); // keys, networks, times and bytes a second; the rest waits for a restart
+    // Applies reloaded keys, networks, times and the byte limit. Other settings require a restart.
+    void update_settings(const operator_config::Site& site);
 
-    // The last words; goes on to answer for a moment, until `gone` says so.
-    void leave(std::function<void()> gone);
+    // Leaves the fleet. Continues to answer requests for a moment, then calls `on_left`.
+    void leave(std::function<void()> on_left);
 
     Node& node() { return *node_; }
     const Node& node() const { return *node_; }
@@ -49,26 +50,26 @@
 
   private:
     void on_ready(short events) override;
-    void open(bool wait, bool waited = false);
-    std::optional<Snapshot> load();
-    void take_over(const Snapshot& former);
-    void take(std::span<const unsigned char> datagram, swim::Address from);
-    void drop(DropReason cause) { ++counters_.dropped[static_cast<std::size_t>(cause)]; }
+    void open(bool wait, bool has_waited = false);
+    std::optional<Snapshot> load_snapshot();
+    void restore(const Snapshot& snapshot);
+    void handle_datagram(std::span<const unsigned char> datagram, swim::Address from);
+    void count_drop(DropReason reason) { ++counters_.dropped[static_cast<std::size_t>(reason)]; }
     void on_timer();
-    void flush(); // what the node wants sent, and told
-    void arm();
-    void save();
+    void send_pending(); // sends the node's queued frames and logs membership changes
+    void arm_timer();
+    void save_snapshot();
 
     net::Loop& loop_;
     operator_config::Mesh settings_;
-    Time snapshot_every_{0};
+    Time snapshot_interval_{0};
     net::Fd socket_;
     Sealer sealer_;
-    Replay replay_;
-    std::optional<Snapshots> snapshots_;
+    ReplayFilter replay_filter_;
+    std::optional<SnapshotStore> snapshots_;
     std::unique_ptr<Node> node_;
-    net::Timer timer_, save_timer_, gone_timer_, open_timer_;
-    std::function<void()> gone_;
+    net::Timer tick_timer_, save_timer_, leave_timer_, open_timer_;
+    std::function<void()> on_left_;
     MeshCounters counters_;
 };
 
--- a/src/scheduler/gossip/node.h
+++ b/src/scheduler/gossip/node.h
@@ -1,5 +1,5 @@
-// One instance among the others: membership and counts put together, and when who is told what. Pure, like
-// both of them: `mesh` gives it sockets and a key, the laboratory a network in virtual time.
+// Combines the membership and the counts of one instance, and schedules their messages. The class does no I/O
+// and reads no clock: `Mesh` connects it to a socket, the laboratory to a simulated network.
 #pragma once
 
 #include "scheduler/counts/book.h"
@@ -16,10 +16,10 @@
     swim::Settings members;
     bool counts_enabled = false;
     counts::Limits limits;
-    Time exchange_interval{0};         // between two exchanges that this instance begins
-    std::uint64_t rate = 0, burst = 0; // declared
-    std::uint64_t bytes_per_second = 0;
-    std::size_t max_frame_bytes = 0; // bytes that a frame may have, encoded
+    Time exchange_interval{0};          // between two exchanges that this instance starts
+    std::uint64_t rate = 0, burst = 0;  // declared rate limit, see `counts::Identity`
+    std::uint64_t bytes_per_second = 0; // limit of the count messages sent
+    std::size_t max_frame_bytes = 0;    // upper bound of an encoded frame
 };
 
 struct OutgoingFrame {
@@ -28,10 +28,12 @@
 };
 
 struct NodeStatistics {
-    std::uint64_t exchanges = 0, answered = 0; // begun here; digests answered
-    std::uint64_t frames_held_back = 0;        // of counts, for want of bytes a second
+    std::uint64_t exchanges_started = 0, digests_answered = 0;
+    std::uint64_t frames_held_back = 0; // count messages not sent because of `bytes_per_second`
 };
 
+// Not thread-safe. Calls queue frames and membership changes, which the caller collects by `take_sends` and
+// `take_changes`.
 class Node {
   public:
     Node(NodeSettings settings, const std::string& instance, std::uint64_t number, swim::Address address,
@@ -39,34 +41,36 @@
 
     void start(Time now);
     void tick(Time now);
-    Time next_tick() const; // when `tick` is due
+    Time next_tick() const; // when `tick` must be called next
     void receive(Time now, swim::Address from, const Frame& frame);
-    void leave(Time now); // the last words: all counts as they stand now, and that this life is over
+    // Sends the final counts to some members and announces that this instance leaves.
+    void leave(Time now);
 
-    // What the calls above want sent, and what they saw change, since these were last asked for.
+    // Return and clear the frames to send and the membership changes since the last call.
     std::vector<OutgoingFrame> take_sends();
     std::vector<swim::StateChange> take_changes();
 
-    void update_settings(NodeSettings settings); // what a reload may change; the limits of the book stay
-    counts::CountStore& count_store() { return book_; }
-    const counts::CountStore& count_store() const { return book_; }
+    // Applies reloaded settings. The limits of the count store do not change.
+    void update_settings(NodeSettings settings);
+    counts::CountStore& count_store() { return count_store_; }
+    const counts::CountStore& count_store() const { return count_store_; }
     const swim::Swim& members() const { return swim_; }
     const NodeStatistics& statistics() const { return statistics_; }
 
   private:
-    void collect(swim::Actions& actions, Time now);
-    void exchange(Time now);
-    void say(swim::Address to, Body body, Time now);
-    bool afford(Time now, std::size_t bytes);
-    void new_life_if_rivalled(Time now);
+    void queue_actions(swim::Actions& actions, Time now);
+    void start_exchange(Time now);
+    void queue_frame(swim::Address to, Body body, Time now);
+    bool consume_budget(Time now, std::size_t bytes);
+    void begin_new_life_if_needed(Time now);
 
     NodeSettings settings_;
     swim::Swim swim_;
-    counts::CountStore book_;
+    counts::CountStore count_store_;
     pcg32 random_;
-    Time next_exchange_{0}, next_fold_{0}, filled_{0};
-    double budget_ = 0; // bytes
-    std::uint64_t count_ = 0;
+    Time next_exchange_{0}, next_fold_{0}, budget_updated_at_{0};
+    double byte_budget_ = 0;
+    std::uint64_t last_sequence_number_ = 0;
     std::vector<OutgoingFrame> sends_;
     std::vector<swim::StateChange> changes_;
     NodeStatistics statistics_;
--- a/src/scheduler/gossip/seal.h
+++ b/src/scheduler/gossip/seal.h
@@ -1,5 +1,5 @@
-// Datagrams sealed by XChaCha20-Poly1305 (libsodium), with the id of the key in clear before them; and the
-// memory of those that were taken, so that none is taken twice.
+// Encryption of datagrams by XChaCha20-Poly1305 (libsodium) with an unencrypted key id, and replay
+// protection.
 #pragma once
 
 #include "scheduler/gossip/frame.h"
@@ -13,39 +13,42 @@
 
 namespace willowrill::gossip {
 
-inline constexpr unsigned char format = 1; // of the envelope and of what is in it
+inline constexpr unsigned char datagram_format = 1; // version of the envelope and of its content
 
 struct Key {
     std::uint32_t id = 0;
     std::array<unsigned char, 32> secret{};
 };
 
+// Why a received datagram was dropped.
 enum class DropReason : std::uint8_t {
-    foreign_network, // from outside the configured networks
-    malformed,       // no envelope of ours, or no frame in it
-    unknown_format,  // of another version of the program
-    unknown_key,     // sealed with a key that is not configured here
-    forged,          // the seal does not fit: another secret, or changed on its way
-    replayed,        // taken before, or too far behind those that were
-    too_old,         // sent longer ago than `max_age` by the two clocks
-    own,             // sent by this very instance
-    number_of_causes
+    foreign_network, // sender address outside the configured networks
+    malformed,       // invalid envelope or frame
+    unknown_format,  // other format version
+    unknown_key,     // key id not configured here
+    forged,          // authentication failed: wrong secret or modified datagram
+    replayed,        // already received, or outside the replay window
+    too_old,         // send time differs from the local clock by more than `max_age`
+    own,             // sent by this instance itself
+    number_of_reasons
 };
-inline constexpr std::size_t drop_reason_count = static_cast<std::size_t>(DropReason::number_of_causes);
-const char* name_of(DropReason cause);
+inline constexpr std::size_t drop_reason_count = static_cast<std::size_t>(DropReason::number_of_reasons);
+const char* name_of(DropReason reason);
 
+// Encrypts and authenticates datagrams with pre-shared keys.
 class Sealer {
   public:
-    // One or two keys; seals with the first and opens with each. Throws std::runtime_error if libsodium
-    // cannot start.
+    // Takes one or two keys: seals with the first and opens with any, which permits key rotation. Throws
+    // std::runtime_error if there is no key or libsodium fails to initialize.
     explicit Sealer(std::vector<Key> keys);
 
-    static constexpr std::size_t overhead_bytes = 1 + 1 + 4 + 24 + 16; // magic, format, key's id, nonce, tag
-    Bytes seal(std::span<const unsigned char> plain) const;
+    static constexpr std::size_t overhead_bytes = 1 + 1 + 4 + 24 + 16; // magic, format, key id, nonce, tag
+    Bytes seal(std::span<const unsigned char> plaintext) const;
+    // `reason` is meaningful only if `valid` is false.
     struct Opened {
-        bool good = false;
-        DropReason cause{};
-        Bytes plain{};
+        bool valid = false;
+        DropReason reason{};
+        Bytes plaintext{};
     };
     Opened open(std::span<const unsigned char> datagram) const;
 
@@ -53,23 +56,25 @@
     std::vector<Key> keys_;
 };
 
-// Counts taken from each sender's life, by a window. Bounded: of the senders, the one heard of longest ago
-// gives way.
-class Replay {
+// Rejects datagrams that were already received, by a sliding window of sequence numbers for each sender. When
+// there are too many senders, the least recently active one is forgotten.
+class ReplayFilter {
   public:
-    explicit Replay(std::size_t most_senders) : most_(most_senders) {}
-    bool take(std::uint64_t life, std::uint64_t count); // false: taken before, or behind the window
-    std::size_t senders() const { return by_life_.size(); }
+    explicit ReplayFilter(std::size_t max_senders) : max_senders_(max_senders) {}
+    // Returns false if the sequence number was accepted before or is older than the window.
+    bool accept(std::uint64_t life, std::uint64_t sequence_number);
+    std::size_t senders() const { return senders_by_life_.size(); }
 
   private:
-    static constexpr std::size_t window = 1024; // datagrams that may overtake one another
+    // Datagrams may be reordered by less than this many sequence numbers.
+    static constexpr std::size_t window_size = 1024;
     struct Sender {
         std::uint64_t life = 0, highest = 0;
-        std::array<std::uint64_t, window / 64> seen{}; // bit `count % window`
+        std::array<std::uint64_t, window_size / 64> seen_bits{}; // indexed by `sequence_number % window_size`
     };
-    std::size_t most_;
-    std::list<Sender> senders_; // heard of latest first
-    std::unordered_map<std::uint64_t, std::list<Sender>::iterator> by_life_;
+    std::size_t max_senders_;
+    std::list<Sender> senders_; // most recently active first
+    std::unordered_map<std::uint64_t, std::list<Sender>::iterator> senders_by_life_;
 };
 
 } // namespace willowrill::gossip
--- a/src/scheduler/gossip/snapshots.cpp
+++ b/src/scheduler/gossip/snapshots.cpp
@@ -5,69 +5,70 @@
 
 namespace willowrill::gossip {
 
-Snapshots::Snapshots(const std::string& folder, const std::string& instance)
-    : store_(folder, "counts-" + instance + ".state", snapshot_format, disk_) {
-    // Signals are the loop's: none may be delivered to this thread.
-    sigset_t all, before;
-    ::sigfillset(&all);
-    ::pthread_sigmask(SIG_BLOCK, &all, &before);
-    writer_ = std::thread([this] { run(); });
-    ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
+SnapshotStore::SnapshotStore(const std::string& directory, const std::string& instance)
+    : store_(directory, "counts-" + instance + ".state", snapshot_format, disk_) {
+    // The event loop handles signals, so they are blocked in the writer thread.
+    sigset_t all_signals, previous_mask;
+    ::sigfillset(&all_signals);
+    ::pthread_sigmask(SIG_BLOCK, &all_signals, &previous_mask);
+    writer_thread_ = std::thread([this] { write_loop(); });
+    ::pthread_sigmask(SIG_SETMASK, &previous_mask, nullptr);
 }
 
-Snapshots::~Snapshots() {
+SnapshotStore::~SnapshotStore() {
     {
         const std::lock_guard lock(mutex_);
-        over_ = true;
+        stopping_ = true;
     }
     wake_.notify_one();
-    writer_.join();
+    writer_thread_.join();
 }
 
-std::optional<Snapshot> Snapshots::load(std::string& note) {
+std::optional<Snapshot> SnapshotStore::load(std::string& warning) {
     atomic_file::Store::Loaded loaded = store_.load();
-    note = std::move(loaded.note);
+    warning = std::move(loaded.note);
     if (loaded.found != atomic_file::Found::whole) return std::nullopt;
-    auto out = decode_snapshot(loaded.content);
-    if (!out) note = store_.path() + " has a good checksum and no snapshot in it; going on without";
-    return out;
+    auto snapshot = decode_snapshot(loaded.content);
+    if (!snapshot)
+        warning = store_.path() + " has a valid checksum but contains no snapshot; continuing without it";
+    return snapshot;
 }
 
-bool Snapshots::save(const Snapshot& snapshot) {
+bool SnapshotStore::save(const Snapshot& snapshot) {
     {
         const std::lock_guard lock(mutex_);
-        if (busy_ || next_) return false;
+        if (writing_ || pending_) return false;
     }
     Bytes bytes = encode(snapshot);
     {
         const std::lock_guard lock(mutex_);
-        next_ = std::move(bytes);
+        pending_ = std::move(bytes);
     }
     wake_.notify_one();
     return true;
 }
 
-std::optional<std::string> Snapshots::failure() {
+std::optional<std::string> SnapshotStore::take_failure() {
     const std::lock_guard lock(mutex_);
     return std::exchange(failure_, std::nullopt);
 }
 
-std::uint64_t Snapshots::written() const {
+std::uint64_t SnapshotStore::written() const {
     const std::lock_guard lock(mutex_);
     return written_;
 }
 
-void Snapshots::run() {
+void SnapshotStore::write_loop() {
     std::unique_lock lock(mutex_);
     for (;;) {
-        wake_.wait(lock, [this] { return next_ || over_; });
-        if (!next_) return;
-        const Bytes bytes = std::move(*std::exchange(next_, std::nullopt));
-        busy_ = true;
+        wake_.wait(lock, [this] { return pending_ || stopping_; });
+        if (!pending_) return;
+        const Bytes bytes = std::move(*std::exchange(pending_, std::nullopt));
+        writing_ = true;
         lock.unlock();
         auto failed = store_.save(bytes);
         lock.lock();
-        busy_ = false;
+        writing_ = false;
         if (failed) {
             failure_ = std::move(failed);
         } else {
--- a/src/scheduler/gossip/snapshots.h
+++ b/src/scheduler/gossip/snapshots.h
@@ -1,5 +1,5 @@
-// Snapshots of the counts in the operators' `state_dir`. Packing happens on the loop, writing and syncing on
-// one thread of its own: a disk that hangs must hold up no message.
+// Snapshots of the counts in the configured `state_dir`. The event loop encodes them; a separate thread
+// writes and syncs them, so that a slow disk does not delay messages.
 #pragma once
 
 #include "scheduler/atomic_file/store.h"
@@ -16,31 +16,33 @@
 
 inline constexpr std::uint32_t snapshot_format = 1;
 
-class Snapshots {
+// To be used by one thread, that of the event loop.
+class SnapshotStore {
   public:
-    Snapshots(const std::string& folder, const std::string& instance);
-    ~Snapshots(); // writes what it was given last
+    SnapshotStore(const std::string& directory, const std::string& instance);
+    ~SnapshotStore(); // waits until the last accepted snapshot is written
 
-    // What a former run left; `note` has a sentence where there is something for the operators to know.
-    std::optional<Snapshot> load(std::string& note);
-    // False: the last one is not written yet, and this one is not taken.
+    // Returns the snapshot of an earlier run, if there is a valid one. Sets `warning` to a message for the
+    // operator if the file is unusable.
+    std::optional<Snapshot> load(std::string& warning);
+    // Queues a snapshot for writing. Returns false, and drops it, if the previous one is not written yet.
     bool save(const Snapshot& snapshot);
-    // Whether any has failed since this was last asked, and why.
-    std::optional<std::string> failure();
+    // Returns and clears the error message of the last failed write.
+    std::optional<std::string> take_failure();
     std::uint64_t written() const;
 
   private:
-    void run();
+    void write_loop();
 
     atomic_file::Disk disk_;
     atomic_file::Store store_;
     mutable std::mutex mutex_;
     std::condition_variable wake_;
-    std::optional<Bytes> next_;
+    std::optional<Bytes> pending_;
     std::optional<std::string> failure_;
     std::uint64_t written_ = 0;
-    bool busy_ = false, over_ = false;
-    std::thread writer_; // last: it uses all of the above
+    bool writing_ = false, stopping_ = false;
+    std::thread writer_thread_; // declared last, as it uses the other members
 };
 
 } // namespace willowrill::gossip
--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -275,7 +275,7 @@
                    before.sections_bad + before.sections_gap + before.sections_unknown + 1 &&
                fleet.low_total(1, "a") == 5;
     };
-    CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));  // no such series
+    CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));           // no such series
     CHECK(bad([](Delta& d) { d.cells[0].version_offset = 0; })); // not behind `from`
     CHECK(bad([](Delta& d) { d.cells[0].version_offset = 9; })); // behind `to`
     CHECK(bad([](Delta& d) { d.cells.push_back(d.cells[0]); }));
--- a/tests/scheduler/gossip/frame_test.cpp
+++ b/tests/scheduler/gossip/frame_test.cpp
@@ -14,8 +14,8 @@
     const auto frame = decode(encode(Frame{7, 8, 9s, std::move(part)}));
     REQUIRE(frame);
     CHECK(frame->life == 7);
-    CHECK(frame->count == 8);
-    CHECK(frame->sent == 9s);
+    CHECK(frame->sequence_number == 8);
+    CHECK(frame->sent_at == 9s);
     REQUIRE(std::holds_alternative<Part>(frame->body));
     return std::get<Part>(frame->body);
 }
@@ -124,66 +124,66 @@
 
 TEST_CASE("a seal opens with its key alone, and says why it does not") {
     const Sealer one({key(1, 7)}), two({key(2, 9), key(1, 7)}), other({key(1, 8)}), none({key(3, 7)});
-    const Bytes plain{1, 2, 3};
-    const Bytes sealed = one.seal(plain);
-    CHECK(sealed.size() == plain.size() + Sealer::overhead_bytes);
-    CHECK(one.open(sealed).plain == plain);
-    CHECK(two.open(sealed).plain == plain); // both keys are good during a change
-    CHECK(one.open(two.seal(plain)).cause == DropReason::unknown_key);
-    CHECK(other.open(sealed).cause == DropReason::forged);
-    CHECK(none.open(sealed).cause == DropReason::unknown_key);
-    CHECK(one.seal(plain) != sealed); // a nonce of its own each time
+    const Bytes plaintext{1, 2, 3};
+    const Bytes sealed = one.seal(plaintext);
+    CHECK(sealed.size() == plaintext.size() + Sealer::overhead_bytes);
+    CHECK(one.open(sealed).plaintext == plaintext);
+    CHECK(two.open(sealed).plaintext == plaintext); // both keys are good during a change
+    CHECK(one.open(two.seal(plaintext)).reason == DropReason::unknown_key);
+    CHECK(other.open(sealed).reason == DropReason::forged);
+    CHECK(none.open(sealed).reason == DropReason::unknown_key);
+    CHECK(one.seal(plaintext) != sealed); // a nonce of its own each time
     for (std::size_t at = 0; at < sealed.size(); ++at) {
         Bytes bad = sealed;
         bad[at] ^= 1U;
-        CHECK_FALSE(one.open(bad).good);
+        CHECK_FALSE(one.open(bad).valid);
     }
     for (std::size_t size = 0; size < sealed.size(); ++size)
-        CHECK_FALSE(one.open(std::span(sealed).first(size)).good);
+        CHECK_FALSE(one.open(std::span(sealed).first(size)).valid);
     Bytes newer = sealed;
     newer[1] = 2;
-    CHECK(one.open(newer).cause == DropReason::unknown_format);
-    CHECK(one.open(Bytes(2000, 0x57)).cause == DropReason::malformed);
+    CHECK(one.open(newer).reason == DropReason::unknown_format);
+    CHECK(one.open(Bytes(2000, 0x57)).reason == DropReason::malformed);
 }
 
 TEST_CASE("each count of a sender is taken once, in whatever order they come") {
-    Replay replay(3);
-    CHECK(replay.take(1, 10));
-    CHECK_FALSE(replay.take(1, 10));
-    CHECK(replay.take(1, 8));
-    CHECK_FALSE(replay.take(1, 8));
-    CHECK(replay.take(1, 500));
-    CHECK(replay.take(1, 9));
-    CHECK(replay.take(1, 2000));
-    CHECK_FALSE(replay.take(1, 976)); // behind the window
-    CHECK(replay.take(1, 977));
-    CHECK_FALSE(replay.take(1, 500));
-    CHECK(replay.take(2, 2000));
-    CHECK(replay.take(1, 1'000'000));
-    CHECK(replay.take(1, 999'999));
-    CHECK_FALSE(replay.take(1, 999'999));
+    ReplayFilter replay(3);
+    CHECK(replay.accept(1, 10));
+    CHECK_FALSE(replay.accept(1, 10));
+    CHECK(replay.accept(1, 8));
+    CHECK_FALSE(replay.accept(1, 8));
+    CHECK(replay.accept(1, 500));
+    CHECK(replay.accept(1, 9));
+    CHECK(replay.accept(1, 2000));
+    CHECK_FALSE(replay.accept(1, 976)); // behind the window
+    CHECK(replay.accept(1, 977));
+    CHECK_FALSE(replay.accept(1, 500));
+    CHECK(replay.accept(2, 2000));
+    CHECK(replay.accept(1, 1'000'000));
+    CHECK(replay.accept(1, 999'999));
+    CHECK_FALSE(replay.accept(1, 999'999));
 }
 
 TEST_CASE("of more senders than are remembered, the one heard of longest ago gives way") {
-    Replay replay(2);
-    CHECK(replay.take(1, 1));
-    CHECK(replay.take(2, 1));
-    CHECK(replay.take(1, 2));
-    CHECK(replay.take(3, 1)); // 2 is gone
+    ReplayFilter replay(2);
+    CHECK(replay.accept(1, 1));
+    CHECK(replay.accept(2, 1));
+    CHECK(replay.accept(1, 2));
+    CHECK(replay.accept(3, 1)); // 2 is gone
     CHECK(replay.senders() == 2);
-    CHECK_FALSE(replay.take(1, 1));
-    CHECK_FALSE(replay.take(3, 1));
+    CHECK_FALSE(replay.accept(1, 1));
+    CHECK_FALSE(replay.accept(3, 1));
 }
 
 TEST_CASE("a random order of counts, each sent three times, is taken once") {
-    Replay replay(1);
+    ReplayFilter replay(1);
     std::uint64_t state = 12345;
     std::vector<int> taken(5000, 0);
     for (std::uint64_t base = 0; base < 4000; base += 100) {
         for (int i = 0; i < 900; ++i) {
             state = state * 6364136223846793005ULL + 1442695040888963407ULL;
             const std::uint64_t count = base + (state >> 33U) % 300;
-            if (replay.take(9, count)) ++taken[count];
+            if (replay.accept(9, count)) ++taken[count];
         }
     }
     for (const int times : taken)
--- a/tests/scheduler/gossip/mesh_test.cpp
+++ b/tests/scheduler/gossip/mesh_test.cpp
@@ -147,16 +147,16 @@
     Rig rig;
     std::uint64_t taken = 0;
     {
-        Snapshots snapshots(rig.folder, "self");
+        SnapshotStore snapshots(rig.folder, "self");
         std::uint64_t seen = 0;
         for (std::uint64_t number = 1; number <= 300; ++number) {
             if (snapshots.save({.instance = "self", .number = number})) taken = number;
             CHECK(snapshots.written() >= std::exchange(seen, snapshots.written()));
-            CHECK_FALSE(snapshots.failure());
+            CHECK_FALSE(snapshots.take_failure());
         }
     } // writes what it was given last
     std::string note;
-    Snapshots snapshots(rig.folder, "self");
+    SnapshotStore snapshots(rig.folder, "self");
     const auto loaded = snapshots.load(note);
     REQUIRE(loaded);
     CHECK(loaded->number == taken);
@@ -166,11 +166,11 @@
     std::optional<std::string> failure;
     for (int i = 0; i < 20000 && !failure; ++i) {
         rig.loop.run_once(1ms);
-        failure = snapshots.failure();
+        failure = snapshots.take_failure();
     }
     REQUIRE(failure);
     CHECK(failure->find("cannot write") != std::string::npos);
-    CHECK_FALSE(snapshots.failure()); // told once
+    CHECK_FALSE(snapshots.take_failure()); // told once
 }
 
 TEST_CASE("a torn or foreign file is put aside, and the instance goes on without") {
--- a/tests/scheduler/gossip/recorded_formats_test.cpp
+++ b/tests/scheduler/gossip/recorded_formats_test.cpp
@@ -50,7 +50,7 @@
     std::string note;
     std::optional<Snapshot> snapshot;
     {
-        Snapshots snapshots(folder.path, "self");
+        SnapshotStore snapshots(folder.path, "self");
         snapshot = snapshots.load(note);
         REQUIRE_MESSAGE(snapshot, note);
         CHECK(snapshot->instance == "self");
