--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -5,89 +5,89 @@
 namespace willowrill::counts::testing {
 namespace {
 
-TEST_CASE("what one counts, all come to know, by tenant, class and outcome") {
+TEST_CASE("counts of one instance reach all others, by tenant, class and outcome") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
     fleet.count(1, "a", 7);
     fleet.count(2, "b", 1, Outcome::refused);
-    fleet.settle();
+    fleet.exchange_all();
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(fleet.low_total(i, "a") == 12);
-        CHECK(fleet.books[i]->low_total("b", "c", Outcome::refused) == 1);
+        CHECK(fleet.stores[i]->low_total("b", "c", Outcome::refused) == 1);
         CHECK(fleet.low_total(i, "b") == 0);
-        CHECK(fleet.books[i]->fingerprint() == fleet.books[0]->fingerprint());
+        CHECK(fleet.stores[i]->fingerprint() == fleet.stores[0]->fingerprint());
     }
-    CHECK(fleet.books[0]->totals(fleet.now).rows.size() == 2);
+    CHECK(fleet.stores[0]->totals(fleet.now).rows.size() == 2);
 }
 
-TEST_CASE("only what the other lacks travels") {
+TEST_CASE("an exchange transfers only the missing changes") {
     Fleet fleet(2);
     for (int i = 0; i < 200; ++i)
         fleet.count(0, "t" + std::to_string(i));
-    fleet.settle();
-    const auto before = fleet.books[1]->statistics();
+    fleet.exchange_all();
+    const auto before = fleet.stores[1]->statistics();
     CHECK(before.cells_applied == 200);
     fleet.count(0, "t7");
-    fleet.settle();
-    CHECK(fleet.books[1]->statistics().cells_applied == 201);
-    CHECK(fleet.books[1]->statistics().cells_known == before.cells_known);
+    fleet.exchange_all();
+    CHECK(fleet.stores[1]->statistics().cells_applied == 201);
+    CHECK(fleet.stores[1]->statistics().cells_known == before.cells_known);
 }
 
-TEST_CASE("a section whose middle is missing changes nothing, and the next exchange mends it") {
+TEST_CASE("a section after a gap is ignored, and the next exchange fills the gap") {
     Fleet fleet(2);
     for (int i = 0; i < 300; ++i)
         fleet.count(0, "t" + std::to_string(i));
-    fleet.books[0]->publish(fleet.now);
-    const auto parts = fleet.books[0]->save(datagram);
+    fleet.stores[0]->publish(fleet.now);
+    const auto parts = fleet.stores[0]->save(max_message_bytes);
     REQUIRE(parts.size() > 4);
-    fleet.books[1]->apply(parts[0], fleet.now);
-    const auto known = fleet.books[1]->statistics().cells_applied;
-    fleet.books[1]->apply(parts[2], fleet.now);
-    CHECK(fleet.books[1]->statistics().sections_gap == 1);
-    CHECK(fleet.books[1]->statistics().cells_applied == known);
-    fleet.settle(1);
+    fleet.stores[1]->apply(parts[0], fleet.now);
+    const auto known = fleet.stores[1]->statistics().cells_applied;
+    fleet.stores[1]->apply(parts[2], fleet.now);
+    CHECK(fleet.stores[1]->statistics().sections_gap == 1);
+    CHECK(fleet.stores[1]->statistics().cells_applied == known);
+    fleet.exchange_all(1);
     CHECK(fleet.low_total(1, "t299") == 1);
     CHECK(fleet.low_total(1, "t0") == 1);
 }
 
-TEST_CASE("order and repeats do not matter") {
+TEST_CASE("reordered and duplicated deltas give the same totals") {
     Fleet fleet(2);
     fleet.count(0, "a", 3);
-    fleet.books[0]->publish(fleet.now);
-    const auto first = fleet.books[0]->save(datagram);
+    fleet.stores[0]->publish(fleet.now);
+    const auto first = fleet.stores[0]->save(max_message_bytes);
     fleet.count(0, "a", 4);
-    fleet.books[0]->publish(fleet.now);
-    const auto second = fleet.books[0]->save(datagram);
+    fleet.stores[0]->publish(fleet.now);
+    const auto second = fleet.stores[0]->save(max_message_bytes);
     for (const auto* parts : {&second, &first, &second, &first})
         for (const Delta& delta : *parts)
-            fleet.books[1]->apply(delta, fleet.now);
+            fleet.stores[1]->apply(delta, fleet.now);
     CHECK(fleet.low_total(1, "a") == 7);
 }
 
-TEST_CASE("the bounds hold while one is cut off, and close when it is back") {
+TEST_CASE("the bounds hold while an instance is unreachable, and narrow when it is back") {
     Fleet fleet(2);
     fleet.count(0, "a", 10);
-    fleet.settle();
+    fleet.exchange_all();
     fleet.now += 60s;
-    for (int i = 0; i < 60; ++i) // as much as it declares
+    for (int i = 0; i < 60; ++i) // the declared rate
         fleet.count(0, "a", 100);
     Total total = fleet.total(1, "a");
     CHECK(total.low == 10);
-    CHECK(total.high >= fleet.truth["a"]);
-    CHECK(total.high <= fleet.truth["a"] + 100);
-    fleet.settle();
+    CHECK(total.high >= fleet.true_totals["a"]);
+    CHECK(total.high <= fleet.true_totals["a"] + 100);
+    fleet.exchange_all();
     total = fleet.total(1, "a");
-    CHECK(total.low == fleet.truth["a"]);
-    CHECK(total.high - total.low <= 60); // the burst, and the rate over the clocks' difference
-    CHECK(fleet.books[0]->statistics().over_rate == 0);
+    CHECK(total.low == fleet.true_totals["a"]);
+    CHECK(total.high - total.low <= 60); // the burst, and the rate times the clock skew
+    CHECK(fleet.stores[0]->statistics().over_rate == 0);
 }
 
-TEST_CASE("the estimate follows the rate that was seen") {
+TEST_CASE("the estimate extrapolates the recent rate") {
     Fleet fleet(2);
     for (int i = 0; i < 50; ++i) {
         fleet.now += 200ms;
         fleet.count(0, "a", 10);
-        fleet.settle(1);
+        fleet.exchange_all(1);
     }
     fleet.now += 4s;
     const Total total = fleet.total(1, "a");
@@ -97,189 +97,190 @@
     CHECK(total.estimate <= total.high);
 }
 
-TEST_CASE("a clock that is ahead does not make what is old look new") {
+TEST_CASE("a clock that is ahead does not make old counts appear recent") {
     Fleet fleet(2);
     CountStore ahead(fleet.limits, {"x", next_number(fleet.now, 9, 0), 100, 0}, fleet.now + 10s);
     const SeriesIndex series = ahead.series("a", "c");
     ahead.count(series, Outcome::served);
     ahead.publish(fleet.now + 10s);
-    for (const Delta& delta : ahead.save(datagram))
-        fleet.books[1]->apply(delta, fleet.now);
-    CHECK(fleet.books[1]->statistics().skewed == 1);
-    fleet.now += 9s; // it goes on counting, unheard
+    for (const Delta& delta : ahead.save(max_message_bytes))
+        fleet.stores[1]->apply(delta, fleet.now);
+    CHECK(fleet.stores[1]->statistics().skewed == 1);
+    fleet.now += 9s; // the instance may count on without being heard
     CHECK(fleet.total(1, "a").high >= 1 + 900);
 }
 
-TEST_CASE("counting beyond what was declared is noticed by the one that does it") {
+TEST_CASE("an instance detects that it counts more than its declared rate limit") {
     Fleet fleet(1);
     fleet.count(0, "a", 51);
-    fleet.books[0]->publish(fleet.now);
-    CHECK(fleet.books[0]->statistics().over_rate == 1);
+    fleet.stores[0]->publish(fleet.now);
+    CHECK(fleet.stores[0]->statistics().over_rate == 1);
     fleet.now += 1s;
     fleet.count(0, "a", 50);
-    fleet.books[0]->publish(fleet.now);
-    CHECK(fleet.books[0]->statistics().over_rate == 1);
+    fleet.stores[0]->publish(fleet.now);
+    CHECK(fleet.stores[0]->statistics().over_rate == 1);
 }
 
-TEST_CASE("two instances of one name are counted both") {
+TEST_CASE("the counts of two instances with one name are added") {
     Fleet fleet(3);
     fleet.start(3, "i0");
     fleet.count(0, "a", 5);
     fleet.count(3, "a", 6);
-    fleet.settle();
+    fleet.exchange_all();
     for (std::size_t i = 0; i < 4; ++i)
         CHECK(fleet.low_total(i, "a") == 11);
-    CHECK(fleet.books[0]->highest_other_life() == fleet.books[3]->self().number);
-    fleet.books[0]->fold(fleet.now, false);
-    fleet.books[3]->fold(fleet.now, false); // the other one lives: nothing is folded
-    CHECK(fleet.books[3]->statistics().folds == 0);
+    CHECK(fleet.stores[0]->highest_other_life() == fleet.stores[3]->self().number);
+    fleet.stores[0]->fold(fleet.now, false);
+    fleet.stores[3]->fold(fleet.now, false); // the other life is alive, so nothing is folded
+    CHECK(fleet.stores[3]->statistics().folds == 0);
 }
 
-TEST_CASE("a former life that has ended is folded, and no total moves by it") {
+TEST_CASE("folding an ended earlier life changes no total") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
-    fleet.books[0]->end_life(fleet.now);
-    fleet.settle();
+    fleet.stores[0]->end_life(fleet.now);
+    fleet.exchange_all();
     fleet.start(0, "i0");
-    fleet.settle();
+    fleet.exchange_all();
     fleet.count(0, "a", 2);
-    CHECK(fleet.books[1]->life_count() == 4);
-    fleet.books[0]->fold(fleet.now, true);
-    CHECK(fleet.books[0]->statistics().folds == 0); // someone is away, and may know more
-    fleet.books[0]->fold(fleet.now, false);
-    fleet.settle();
+    CHECK(fleet.stores[1]->life_count() == 4);
+    fleet.stores[0]->fold(fleet.now, true);
+    CHECK(fleet.stores[0]->statistics().folds == 0); // an unreachable member may know more
+    fleet.stores[0]->fold(fleet.now, false);
+    fleet.exchange_all();
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(fleet.low_total(i, "a") == 7);
-        CHECK(fleet.books[i]->life_count() == 3);
+        CHECK(fleet.stores[i]->life_count() == 3);
     }
 }
 
-TEST_CASE("a life that is not heard of is folded only after its time") {
+TEST_CASE("a silent life is folded only after fold_after") {
     Fleet fleet(2);
     fleet.count(0, "a", 5);
-    fleet.settle();
-    fleet.start(0, "i0"); // it died
-    fleet.settle();
-    fleet.books[0]->fold(fleet.now, false);
-    CHECK(fleet.books[0]->statistics().folds == 0);
+    fleet.exchange_all();
+    fleet.start(0, "i0"); // the earlier life crashed
+    fleet.exchange_all();
+    fleet.stores[0]->fold(fleet.now, false);
+    CHECK(fleet.stores[0]->statistics().folds == 0);
     fleet.now += fleet.limits.fold_after + 1s;
-    fleet.books[0]->fold(fleet.now, false);
-    CHECK(fleet.books[0]->statistics().folds == 1);
-    fleet.settle();
+    fleet.stores[0]->fold(fleet.now, false);
+    CHECK(fleet.stores[0]->statistics().folds == 1);
+    fleet.exchange_all();
     CHECK(fleet.low_total(1, "a") == 5);
 }
 
-TEST_CASE("a folded life that returns is not counted twice") {
+TEST_CASE("a folded life that is received again is not counted twice") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
-    fleet.books[0]->end_life(fleet.now);
-    fleet.settle();
-    const auto old = fleet.books[2]->save(datagram);
+    fleet.stores[0]->end_life(fleet.now);
+    fleet.exchange_all();
+    const auto old = fleet.stores[2]->save(max_message_bytes);
     fleet.start(0, "i0");
-    fleet.settle();
-    fleet.books[0]->fold(fleet.now, false);
-    fleet.settle();
-    CountStore back(fleet.limits, {"i2", next_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50},
-                    fleet.now);
+    fleet.exchange_all();
+    fleet.stores[0]->fold(fleet.now, false);
+    fleet.exchange_all();
+    CountStore returned(fleet.limits, {"i2", next_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50},
+                        fleet.now);
     for (const Delta& delta : old)
-        back.load(delta, fleet.now);
-    CHECK(back.low_total("a", "c", Outcome::served) == 5);
-    exchange(back, *fleet.books[1], fleet.now);
-    exchange(*fleet.books[1], back, fleet.now);
-    CHECK(back.low_total("a", "c", Outcome::served) == 5);
+        returned.load(delta, fleet.now);
+    CHECK(returned.low_total("a", "c", Outcome::served) == 5);
+    exchange(returned, *fleet.stores[1], fleet.now);
+    exchange(*fleet.stores[1], returned, fleet.now);
+    CHECK(returned.low_total("a", "c", Outcome::served) == 5);
     CHECK(fleet.low_total(1, "a") == 5);
-    for (const Delta& delta : old) // straight to those who have folded it, late and twice
-        for (auto& book : fleet.books)
+    for (const Delta& delta : old) // directly to the stores that have folded it
+        for (auto& book : fleet.stores)
             book->apply(delta, fleet.now);
-    CHECK(fleet.books[1]->statistics().folded_returned > 0);
-    fleet.settle();
+    CHECK(fleet.stores[1]->statistics().folded_returned > 0);
+    fleet.exchange_all();
     CHECK(fleet.low_total(0, "a") == 5);
     CHECK(fleet.low_total(1, "a") == 5);
 }
 
-TEST_CASE("a returning life that knows more than was folded raises what was folded, everywhere") {
+TEST_CASE("a returning store that knows more of a folded life corrects the folded cells everywhere") {
     Fleet fleet(3);
     fleet.count(0, "a", 5);
-    fleet.settle();
+    fleet.exchange_all();
     fleet.count(0, "a", 3);
     fleet.count(0, "b", 1);
-    exchange(*fleet.books[0], *fleet.books[2], fleet.now); // only i2 hears of this, and is cut off; i0 dies
-    auto away = std::move(fleet.books[2]);
-    fleet.books.pop_back();
+    exchange(*fleet.stores[0], *fleet.stores[2],
+             fleet.now); // only i2 receives this and is isolated; i0 crashes
+    auto isolated = std::move(fleet.stores[2]);
+    fleet.stores.pop_back();
     fleet.start(0, "i0");
-    fleet.settle();
+    fleet.exchange_all();
     fleet.now += fleet.limits.fold_after + 1s;
-    fleet.books[0]->fold(fleet.now, false); // i2 is forgotten
-    fleet.settle();
+    fleet.stores[0]->fold(fleet.now, false); // i2 was removed from the membership
+    fleet.exchange_all();
     CHECK(fleet.low_total(1, "a") == 5);
-    fleet.books.push_back(std::move(away));
+    fleet.stores.push_back(std::move(isolated));
     CHECK(fleet.low_total(2, "a") == 8);
-    fleet.settle();
+    fleet.exchange_all();
     for (std::size_t i = 0; i < 3; ++i) {
         CHECK(fleet.low_total(i, "a") == 8);
         CHECK(fleet.low_total(i, "b") == 1);
-        CHECK(fleet.books[i]->life_count() == 3);
+        CHECK(fleet.stores[i]->life_count() == 3);
     }
-    CHECK(fleet.books[0]->statistics().raised > 0);
+    CHECK(fleet.stores[0]->statistics().raised > 0);
 }
 
-TEST_CASE("one that was taken for dead by a second instance of its name goes on in a new life") {
+TEST_CASE("an instance whose life was folded by a second instance of its name continues in a new life") {
     Fleet fleet(2);
     fleet.count(0, "a", 5);
-    fleet.settle();
+    fleet.exchange_all();
     fleet.start(2, "i0");
-    exchange(*fleet.books[2], *fleet.books[1], fleet.now);
-    fleet.now += fleet.limits.fold_after + 1s; // i0's first instance is cut off all that time, and counts on
+    exchange(*fleet.stores[2], *fleet.stores[1], fleet.now);
+    fleet.now += fleet.limits.fold_after + 1s; // the first i0 is isolated and continues to count
     fleet.count(0, "a", 4);
-    fleet.books[2]->fold(fleet.now, false);
-    CHECK(fleet.books[2]->statistics().folds == 1);
-    fleet.settle();
+    fleet.stores[2]->fold(fleet.now, false);
+    CHECK(fleet.stores[2]->statistics().folds == 1);
+    fleet.exchange_all();
     fleet.count(0, "a", 2);
-    fleet.settle();
+    fleet.exchange_all();
     for (std::size_t i = 0; i < 3; ++i)
         CHECK(fleet.low_total(i, "a") == 11);
-    CHECK(fleet.books[0]->statistics().lives_begun == 1);
+    CHECK(fleet.stores[0]->statistics().lives_begun == 1);
 }
 
-TEST_CASE("what is beyond the limits is counted together, and none of it is lost") {
+TEST_CASE("tenants beyond the limit are counted together, and no count is lost") {
     Fleet fleet(2, {.max_tenants = 2, .max_lives = 3, .max_skew = 0ms, .fold_after = 60s});
     for (const char* tenant : {"a", "b", "c", "d"})
         fleet.count(0, tenant, 2);
-    fleet.settle();
+    fleet.exchange_all();
     CHECK(fleet.low_total(1, "a") == 2);
     CHECK(fleet.low_total(1, std::string(other_tenant)) == 4);
-    CHECK(fleet.books[0]->statistics().over_limit > 0);
+    CHECK(fleet.stores[0]->statistics().over_limit > 0);
     for (int i = 0; i < 5; ++i) {
         fleet.start(1, "n" + std::to_string(i));
-        exchange(*fleet.books[1], *fleet.books[0], fleet.now);
+        exchange(*fleet.stores[1], *fleet.stores[0], fleet.now);
     }
-    CHECK(fleet.books[0]->life_count() == 3);
+    CHECK(fleet.stores[0]->life_count() == 3);
 }
 
-TEST_CASE("sections against the rules change nothing") {
+TEST_CASE("invalid sections change nothing") {
     Fleet fleet(2);
     fleet.count(0, "a", 5);
-    fleet.settle();
+    fleet.exchange_all();
     fleet.count(0, "a", 1);
-    fleet.books[0]->publish(fleet.now);
-    const std::uint64_t key = fleet.books[0]->self().key();
-    const auto good = fleet.books[0]->make_deltas({{key, 2, false}}, datagram, 1).at(0);
+    fleet.stores[0]->publish(fleet.now);
+    const std::uint64_t key = fleet.stores[0]->self().key();
+    const auto good = fleet.stores[0]->make_deltas({{key, 2, false}}, max_message_bytes, 1).at(0);
     REQUIRE(good.cells.size() == 1);
     const auto bad = [&](auto change) {
         Delta delta = good;
         change(delta);
-        const auto before = fleet.books[1]->statistics();
-        fleet.books[1]->apply(delta, fleet.now);
-        const auto& after = fleet.books[1]->statistics();
+        const auto before = fleet.stores[1]->statistics();
+        fleet.stores[1]->apply(delta, fleet.now);
+        const auto& after = fleet.stores[1]->statistics();
         return after.sections_bad + after.sections_gap + after.sections_unknown ==
                    before.sections_bad + before.sections_gap + before.sections_unknown + 1 &&
                fleet.low_total(1, "a") == 5;
     };
     CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));           // no such series
-    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 0; })); // not behind `from`
-    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 9; })); // behind `to`
+    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 0; })); // not after `from`
+    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 9; })); // after `to`
     CHECK(bad([](Delta& d) { d.cells.push_back(d.cells[0]); }));
-    // Found by fuzzing: sums of such values left 64 bits.
+    // Found by fuzzing: sums of such values overflowed 64 bits.
     CHECK(bad([](Delta& d) { d.cells[0].value = max_cell_value + 1; }));
     CHECK(bad([](Delta& d) { d.sections[0].cell_count = 2; }));
     CHECK(bad([](Delta& d) {
@@ -288,23 +289,24 @@
     }));
     CHECK(bad([](Delta& d) { d.sections[0].to = 0; }));
     CHECK(bad([](Delta& d) { d.sections[0].key ^= 1; }));
-    fleet.books[1]->apply(good, fleet.now);
+    fleet.stores[1]->apply(good, fleet.now);
     CHECK(fleet.low_total(1, "a") == 6);
 }
 
 TEST_CASE(
-    "an instance that declares more than any may is not taken in") { // found by fuzzing: high left 64 bits
+    "an instance that declares a rate limit above the maximum is rejected") { // found by fuzzing: `high`
+                                                                              // overflowed 64 bits
     Fleet fleet(1);
-    CountStore loud(fleet.limits, {"loud", 1, ~std::uint64_t{0}, 1}, fleet.now);
-    loud.count(loud.series("a", "c"), Outcome::served);
-    loud.publish(fleet.now);
-    for (const Delta& delta : loud.save(datagram))
-        fleet.books[0]->apply(delta, fleet.now);
-    CHECK(fleet.books[0]->life_count() == 1);
-    CHECK(fleet.books[0]->statistics().sections_bad == 1);
+    CountStore over_limit_store(fleet.limits, {"loud", 1, ~std::uint64_t{0}, 1}, fleet.now);
+    over_limit_store.count(over_limit_store.series("a", "c"), Outcome::served);
+    over_limit_store.publish(fleet.now);
+    for (const Delta& delta : over_limit_store.save(max_message_bytes))
+        fleet.stores[0]->apply(delta, fleet.now);
+    CHECK(fleet.stores[0]->life_count() == 1);
+    CHECK(fleet.stores[0]->statistics().sections_bad == 1);
 }
 
-TEST_CASE("numbers of lives grow whatever the clock says") {
+TEST_CASE("life numbers increase whatever the clock says") {
     const std::uint64_t first = next_number(1'700'000'000s, 5, 0);
     CHECK(next_number(1'600'000'000s, 6, first) > first);
     CHECK(next_number(1'700'000'000s, 5, 0) == first);
--- a/tests/scheduler/gossip/recorded_formats_test.cpp
+++ b/tests/scheduler/gossip/recorded_formats_test.cpp
@@ -1,5 +1,5 @@
-// Datagrams and the file of counts as an earlier version wrote them (tests/data): they are read, and what is
-// made of them again is the same bytes.
+// Compatibility tests: datagrams and a snapshot file recorded from an earlier version (tests/data) can be
+// read, and encoding them again gives the same bytes.
 #include "scheduler/gossip/frame.h"
 #include "scheduler/gossip/snapshots.h"
 
@@ -24,14 +24,14 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-TEST_CASE("recorded datagrams of each kind are read, and written again alike") {
+TEST_CASE("recorded datagrams of each kind are decoded, and encoded to the same bytes") {
     int files = 0;
     for (const auto& entry : fs::directory_iterator(data_folder / "datagrams")) {
         CAPTURE(entry.path().string());
         const Bytes recorded = read(entry.path());
         const auto frame = decode(recorded);
         ++files;
-        // The seed of this name is malformed (a fuzz target wants such inputs, too): it is refused.
+        // The recorded seed of this name is malformed, as fuzz targets need such inputs, too.
         if (entry.path().filename() == "raise") {
             CHECK_FALSE(frame);
             continue;
@@ -42,23 +42,23 @@
     CHECK(files == 7);
 }
 
-TEST_CASE("a recorded file of counts is read, and written again alike") {
-    const lab::Folder folder;
+TEST_CASE("a recorded snapshot file is loaded, and saved as the same bytes") {
+    const lab::Folder directory;
     const fs::path recorded = data_folder / "state_file" / "counts-self.state";
-    const fs::path copy = fs::path(folder.path) / recorded.filename();
+    const fs::path copy = fs::path(directory.path) / recorded.filename();
     fs::copy_file(recorded, copy);
-    std::string note;
+    std::string warning;
     std::optional<Snapshot> snapshot;
     {
-        SnapshotStore snapshots(folder.path, "self");
-        snapshot = snapshots.load(note);
-        REQUIRE_MESSAGE(snapshot, note);
+        SnapshotStore snapshots(directory.path, "self");
+        snapshot = snapshots.load(warning);
+        REQUIRE_MESSAGE(snapshot, warning);
         CHECK(snapshot->instance == "self");
         CHECK(snapshot->number == 60);
         CHECK(snapshot->deltas.size() == 1);
         fs::remove(copy);
         REQUIRE(snapshots.save(*snapshot));
-    } // its end waits for the write
+    } // the destructor waits for the write
     CHECK(read(copy) == read(recorded));
 }
 
--- a/tests/scheduler/swim/members_test.cpp
+++ b/tests/scheduler/swim/members_test.cpp
@@ -1,4 +1,4 @@
-// Membership on the laboratory's network: the very code, in virtual time.
+// Tests of the membership protocol on the laboratory's simulated network, in virtual time.
 #include "lab/world.h"
 
 #include <doctest/doctest.h>
@@ -10,12 +10,12 @@
 using lab::World;
 
 World::Options options(std::uint64_t seed, double loss = 0) {
-    World::Options out;
-    out.link = {.loss = loss, .delay_least = 1ms, .delay_most = 20ms};
-    out.node.members = {.probe_period = 1s, .probe_timeout = 200ms, .forget_after = 3600s, .seeds = {}};
-    out.node.exchange_interval = 3600s;
-    out.seed = seed;
-    return out;
+    World::Options result;
+    result.link = {.loss = loss, .delay_least = 1ms, .delay_most = 20ms};
+    result.node.members = {.probe_period = 1s, .probe_timeout = 200ms, .forget_after = 3600s, .seeds = {}};
+    result.node.exchange_interval = 3600s;
+    result.seed = seed;
+    return result;
 }
 
 State state_at(World& world, std::size_t reader, std::size_t subject) {
@@ -31,14 +31,14 @@
     REQUIRE(world.run_until_done([&] { return world.all_see(size); }, 100ms, 60s));
 }
 
-TEST_CASE("those that start find one another by a seed") {
+TEST_CASE("instances that start find each other through a seed") {
     for (const std::size_t size : {2, 5, 40}) {
         World world(options(size));
         start(world, size);
     }
 }
 
-TEST_CASE("a silent death is found by all, within the periods that suspicion takes") {
+TEST_CASE("all members detect a crashed member within the suspicion timeout") {
     World world(options(1));
     start(world, 10);
     world.kill(4);
@@ -46,7 +46,7 @@
     CHECK(world.node(0).members().statistics().refuted == 0);
 }
 
-TEST_CASE("one that leaves is never suspected") {
+TEST_CASE("a member that leaves is never suspected") {
     World world(options(2));
     start(world, 10);
     world.leave(3);
@@ -59,7 +59,7 @@
     CHECK(suspected == 0);
 }
 
-TEST_CASE("under heavy loss nobody who lives stays dead") {
+TEST_CASE("with heavy packet loss no running member stays dead") {
     World world(options(3, 0.2));
     start(world, 12);
     world.run_for(300s);
@@ -67,7 +67,7 @@
     CHECK(world.run_until_done([&] { return world.all_see(12); }, 1s, 120s));
 }
 
-TEST_CASE("a false suspicion is refuted: one that is cut from its prober alone is reached through others") {
+TEST_CASE("indirect probes reach a member that is unreachable only for its prober") {
     World world(options(4));
     start(world, 6);
     world.cut(0, 1, true);
@@ -82,7 +82,7 @@
     CHECK(state_at(world, 0, 1) == State::alive);
 }
 
-TEST_CASE("one that was cut off, and taken for dead, refutes that when it is back") {
+TEST_CASE("a member that was isolated and declared dead refutes that when it is reachable again") {
     World world(options(5));
     start(world, 5);
     world.cut_off(2, true);
@@ -93,7 +93,7 @@
     CHECK(world.node(2).members().statistics().refuted > 0);
 }
 
-TEST_CASE("two halves that lost each other become one again") {
+TEST_CASE("two partitions merge when the network heals") {
     World world(options(6));
     start(world, 8);
     for (std::size_t a = 0; a < 4; ++a) {
@@ -110,21 +110,21 @@
     CHECK(world.run_until_done([&] { return world.all_see(8); }, 1s, 120s));
 }
 
-TEST_CASE("a restart under the same name is told from its former life, at once") {
+TEST_CASE("a restart under the same name is distinguished from the previous life at once") {
     World world(options(7));
     start(world, 5);
-    const MemberId former = world.node(3).members().self().id;
+    const MemberId previous_life = world.node(3).members().self().id;
     world.kill(3);
     world.restart(3, false);
     world.run_for(5s);
     CHECK(world.all_see(5));
     const auto& others = world.node(0).members().others();
-    REQUIRE(others.contains(former));
-    CHECK(others.at(former).state == State::dead);
+    REQUIRE(others.contains(previous_life));
+    CHECK(others.at(previous_life).state == State::dead);
     CHECK_FALSE(world.node(0).members().has_unreachable_member());
 }
 
-TEST_CASE("two instances of one name are both members, and that is said") {
+TEST_CASE("two instances with one name are both members, and the conflict is counted") {
     World world(options(8));
     start(world, 4);
     world.add("i2");
@@ -133,7 +133,7 @@
     CHECK(world.node(0).members().statistics().conflicts > 0);
 }
 
-TEST_CASE("a member that is away counts as away until it is forgotten") {
+TEST_CASE("a dead member is reported as unreachable until it is removed") {
     auto settings = options(9);
     settings.node.members.forget_after = 60s;
     World world(settings);
@@ -147,7 +147,7 @@
     CHECK(world.node(0).members().others().size() == 2);
 }
 
-TEST_CASE("news from outside cannot grow the view past its bound, nor be against the rules") {
+TEST_CASE("received updates respect the member limit, and invalid ones are ignored") {
     Swim swim({.probe_period = 1s, .probe_timeout = 100ms, .max_members = 10, .seeds = {}}, {"self", 1},
               {1, 1}, 1, 0s);
     Message message{.kind = MessageKind::sync};
@@ -156,24 +156,25 @@
     message.updates.push_back({{"", 1}, {1, 1}});
     message.updates.push_back({{"x", 0}, {1, 1}});
     message.updates.push_back({{std::string(100, 'x'), 1}, {1, 1}});
-    Actions out;
-    swim.receive(0s, {2, 1}, message, out);
+    Actions actions;
+    swim.receive(0s, {2, 1}, message, actions);
     CHECK(swim.others().size() == 9);
     CHECK(swim.statistics().over_limit == 91);
 }
 
-TEST_CASE("one that is told of its own death raises its incarnation above it") {
+TEST_CASE("an instance that receives its own death report raises its incarnation above the reported one") {
     Swim swim({.probe_period = 1s, .probe_timeout = 100ms, .seeds = {}}, {"self", 1}, {1, 1}, 1, 0s);
-    Actions out;
+    Actions actions;
     swim.receive(
         0s, {2, 1},
-        {.kind = MessageKind::ping, .sequence = 5, .updates = {{{"self", 1}, {1, 1}, State::dead, 7}}}, out);
+        {.kind = MessageKind::ping, .sequence = 5, .updates = {{{"self", 1}, {1, 1}, State::dead, 7}}},
+        actions);
     CHECK(swim.self().incarnation == 8);
-    REQUIRE(out.sends.size() == 1);
-    CHECK(out.sends[0].message.kind == MessageKind::ack);
-    CHECK(out.sends[0].message.sequence == 5);
-    REQUIRE(out.sends[0].message.updates.size() == 1);
-    CHECK(out.sends[0].message.updates[0].incarnation == 8);
+    REQUIRE(actions.sends.size() == 1);
+    CHECK(actions.sends[0].message.kind == MessageKind::ack);
+    CHECK(actions.sends[0].message.sequence == 5);
+    REQUIRE(actions.sends[0].message.updates.size() == 1);
+    CHECK(actions.sends[0].message.updates[0].incarnation == 8);
 }
 
 } // namespace
