--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -38,7 +38,7 @@
 void World::start(std::size_t at, bool with_state) {
     Instance& one = instances_[at];
     const bool known = with_state && one.saved;
-    one.last_number = counts::next_number(now_of(at), random_(), known ? one.saved->number : 0);
+    one.last_number = counts::next_life_number(now_of(at), random_(), known ? one.saved->number : 0);
     one.node = std::make_unique<gossip::Node>(options_.node, one.name, one.last_number, one.address,
                                               random_(), now_of(at));
     one.series.clear();
--- a/src/scheduler/counts/book.cpp
+++ b/src/scheduler/counts/book.cpp
@@ -225,12 +225,13 @@
     if (Life* known = find_life(key)) return known;
     if (identity.instance.empty() || identity.number == 0 || identity.rate > max_rate ||
         identity.burst > max_burst) {
-        ++statistics_.sections_bad;
+        ++statistics_.sections_invalid;
         return nullptr;
     }
     if (const auto instance_lives = instances_.find(identity.instance);
         instance_lives != instances_.end() && identity.number <= instance_lives->second.removed_up_to) {
-        ++statistics_.folded_returned; // its counts are included already; the sender will remove it, too
+        ++statistics_
+              .folded_lives_rejected; // its counts are included already; the sender will remove it, too
         return nullptr;
     }
     if (lives_by_key_.size() >= limits_.max_lives) {
@@ -251,7 +252,7 @@
         marks += section.mark_count;
     }
     if (cells != delta.cells.size() || series != delta.series.size() || marks != delta.marks.size()) {
-        ++statistics_.sections_bad;
+        ++statistics_.sections_invalid;
         return;
     }
     for (const Introduction& introduction : delta.introductions)
@@ -284,7 +285,7 @@
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity): see ROADMAP
 bool CountStore::apply(const SectionUpdates& updates, const Section& section, Life& life, Time now) {
     if (section.to < section.from || section.from > life.version()) {
-        ++(section.to < section.from ? statistics_.sections_bad : statistics_.sections_gap);
+        ++(section.to < section.from ? statistics_.sections_invalid : statistics_.sections_gap);
         return false;
     }
     // The first pass validates the section, the second one applies it.
@@ -336,7 +337,7 @@
                 mark.number < life.identity().number);
     });
     if (!valid) {
-        ++statistics_.sections_bad;
+        ++statistics_.sections_invalid;
         return false;
     }
     walk([&](const Step& step) {
@@ -361,7 +362,7 @@
     if (!is_current) return true;
     const bool was_skewed = life.clock_lead() > limits_.max_skew;
     life.update_as_of(section.as_of, now);
-    if (!was_skewed && life.clock_lead() > limits_.max_skew) ++statistics_.skewed;
+    if (!was_skewed && life.clock_lead() > limits_.max_skew) ++statistics_.skewed_clocks;
     return true;
 }
 
@@ -428,7 +429,7 @@
         // corrections below keep the counts so far, and a new life takes the counts from now on.
         const std::uint64_t above =
             std::max({last, highest_other_life_, instance_lives.lives.rbegin()->first});
-        begin_life(next_number(now, static_cast<std::uint32_t>(key), above), now);
+        begin_life(next_life_number(now, static_cast<std::uint32_t>(key), above), now);
         folding_life = find_life(key);
     }
     const std::vector<std::uint64_t> known = sum_lives(instance_lives, last);
@@ -468,7 +469,7 @@
         life->raise_folded(
             slot_of(series ? *series : life->add_series(global_series), correction.outcome, true),
             correction.value);
-        ++statistics_.raised;
+        ++statistics_.cells_corrected;
         return;
     }
     const auto key = std::pair{correction.key,
--- a/src/scheduler/counts/book.h
+++ b/src/scheduler/counts/book.h
@@ -52,13 +52,13 @@
     std::uint64_t cells_applied = 0, cells_known = 0; // received changes: new, and already known
     std::uint64_t sections_gap = 0;                   // sections after a gap; the next exchange fills it
     std::uint64_t sections_unknown = 0;               // sections of a life that was not introduced
-    std::uint64_t sections_bad = 0;                   // invalid sections and introductions, ignored entirely
-    std::uint64_t folded_returned = 0;   // already folded lives that were received again and rejected
-    std::uint64_t over_limit = 0;        // lives, tenants, classes or corrections beyond the limits
-    std::uint64_t folds = 0, raised = 0; // folds by this instance; folded cells that were corrected
+    std::uint64_t sections_invalid = 0;               // invalid sections and introductions, ignored entirely
+    std::uint64_t folded_lives_rejected = 0; // already folded lives that were received again and rejected
+    std::uint64_t over_limit = 0;            // lives, tenants, classes or corrections beyond the limits
+    std::uint64_t folds = 0, cells_corrected = 0; // folds by this instance; folded cells that were corrected
     std::uint64_t over_rate = 0; // own counts exceeded the declared rate limit, so `high` is wrong elsewhere
-    std::uint64_t skewed = 0;    // lives whose clock is ahead by more than `max_skew`
-    std::uint64_t lives_begun = 0; // lives begun while running, see `begin_life`
+    std::uint64_t skewed_clocks = 0; // lives whose clock is ahead by more than `max_skew`
+    std::uint64_t lives_begun = 0;   // lives begun while running, see `begin_life`
 };
 
 // The replica of one instance. Not thread-safe.
--- a/src/scheduler/counts/wire.h
+++ b/src/scheduler/counts/wire.h
@@ -25,7 +25,7 @@
 // any interval of t seconds the life counts at most `burst + rate * t` jobs.
 struct Identity {
     std::string instance{};
-    std::uint64_t number = 0; // increases with each life of an instance, see `next_number`
+    std::uint64_t number = 0; // increases with each life of an instance, see `next_life_number`
     std::uint64_t rate = 0;   // per second
     std::uint64_t burst = 0;
     std::uint64_t key() const; // hash of instance and number; identifies the life in messages
@@ -38,7 +38,7 @@
 
 // Returns the number of a new life: the start time in milliseconds followed by 20 random bits, so that two
 // instances of one name get different numbers. The result is greater than `last`, whatever the clock says.
-std::uint64_t next_number(Time now, std::uint32_t random, std::uint64_t last);
+std::uint64_t next_life_number(Time now, std::uint32_t random, std::uint64_t last);
 
 // The index of a cell within a life. Each series of the life has eight slots: one per outcome for the life's
 // own counts, then one per outcome for the counts folded from earlier lives.
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -144,18 +144,19 @@
     counter("counts_cells_known_total", "Cells of others that were known already.", counts.cells_known);
     for (const auto& [cause, value] :
          {std::pair{"gap", counts.sections_gap}, std::pair{"unknown_life", counts.sections_unknown},
-          std::pair{"bad", counts.sections_bad}}) {
+          std::pair{"bad", counts.sections_invalid}}) {
         out.add("counts_sections_refused_total", "Parts of counts not taken over, by cause.",
                 MetricType::Counter, number(value), {{"cause", cause}});
     }
     counter("counts_over_limit_total", "Lives, tenants or classes beyond the limits.", counts.over_limit);
     counter("counts_over_rate_total", "Times this instance counted more than it declares.", counts.over_rate);
     counter("counts_skewed_clocks_total", "Instances found with a clock ahead by more than max_skew.",
-            counts.skewed);
+            counts.skewed_clocks);
     counter("counts_folds_total", "Times that former lives of this instance were folded.", counts.folds);
-    counter("counts_raised_total", "Folded cells raised as a returning instance knew more.", counts.raised);
+    counter("counts_raised_total", "Folded cells raised as a returning instance knew more.",
+            counts.cells_corrected);
     counter("counts_folded_returned_total", "Folded lives that were brought back, and not taken in.",
-            counts.folded_returned);
+            counts.folded_lives_rejected);
     counter("counts_snapshots_written_total", "Snapshots on disk, complete.", mesh_.snapshots_written());
     return out.text();
 }
--- a/src/scheduler/gossip/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -90,7 +90,7 @@
     const std::uint64_t last_number = snapshot && snapshot->instance == instance ? snapshot->number : 0;
     const net::Time now = loop_.now();
     const std::uint64_t number =
-        counts::next_number(now, static_cast<std::uint32_t>(random_seed()), last_number);
+        counts::next_life_number(now, static_cast<std::uint32_t>(random_seed()), last_number);
     node_ = std::make_unique<Node>(settings_of(site), instance, number, address_of(settings_.advertise),
                                    random_seed(), now);
     if (snapshot) restore(*snapshot);
--- a/src/scheduler/gossip/node.cpp
+++ b/src/scheduler/gossip/node.cpp
@@ -125,7 +125,7 @@
     if (other_life != swim_.others().end() && other_life->second.state != swim::State::dead &&
         other_life->second.state != swim::State::left)
         return;
-    count_store_.begin_life(counts::next_number(now, random_(), count_store_.highest_other_life()), now);
+    count_store_.begin_life(counts::next_life_number(now, random_(), count_store_.highest_other_life()), now);
     swim::Actions actions;
     swim_.begin_life(count_store_.self().number, now, actions);
     queue_actions(actions, now);
--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -99,13 +99,13 @@
 
 TEST_CASE("a clock that is ahead does not make old counts appear recent") {
     Fleet fleet(2);
-    CountStore ahead(fleet.limits, {"x", next_number(fleet.now, 9, 0), 100, 0}, fleet.now + 10s);
+    CountStore ahead(fleet.limits, {"x", next_life_number(fleet.now, 9, 0), 100, 0}, fleet.now + 10s);
     const SeriesIndex series = ahead.series("a", "c");
     ahead.count(series, Outcome::served);
     ahead.publish(fleet.now + 10s);
     for (const Delta& delta : ahead.save(max_message_bytes))
         fleet.stores[1]->apply(delta, fleet.now);
-    CHECK(fleet.stores[1]->statistics().skewed == 1);
+    CHECK(fleet.stores[1]->statistics().skewed_clocks == 1);
     fleet.now += 9s; // the instance may count on without being heard
     CHECK(fleet.total(1, "a").high >= 1 + 900);
 }
@@ -179,8 +179,8 @@
     fleet.exchange_all();
     fleet.stores[0]->fold(fleet.now, false);
     fleet.exchange_all();
-    CountStore returned(fleet.limits, {"i2", next_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50},
-                        fleet.now);
+    CountStore returned(fleet.limits,
+                        {"i2", next_life_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50}, fleet.now);
     for (const Delta& delta : old)
         returned.load(delta, fleet.now);
     CHECK(returned.low_total("a", "c", Outcome::served) == 5);
@@ -191,7 +191,7 @@
     for (const Delta& delta : old) // directly to the stores that have folded it
         for (auto& book : fleet.stores)
             book->apply(delta, fleet.now);
-    CHECK(fleet.stores[1]->statistics().folded_returned > 0);
+    CHECK(fleet.stores[1]->statistics().folded_lives_rejected > 0);
     fleet.exchange_all();
     CHECK(fleet.low_total(0, "a") == 5);
     CHECK(fleet.low_total(1, "a") == 5);
@@ -221,7 +221,7 @@
         CHECK(fleet.low_total(i, "b") == 1);
         CHECK(fleet.stores[i]->life_count() == 3);
     }
-    CHECK(fleet.stores[0]->statistics().raised > 0);
+    CHECK(fleet.stores[0]->statistics().cells_corrected > 0);
 }
 
 TEST_CASE("an instance whose life was folded by a second instance of its name continues in a new life") {
@@ -272,8 +272,8 @@
         const auto before = fleet.stores[1]->statistics();
         fleet.stores[1]->apply(delta, fleet.now);
         const auto& after = fleet.stores[1]->statistics();
-        return after.sections_bad + after.sections_gap + after.sections_unknown ==
-                   before.sections_bad + before.sections_gap + before.sections_unknown + 1 &&
+        return after.sections_invalid + after.sections_gap + after.sections_unknown ==
+                   before.sections_invalid + before.sections_gap + before.sections_unknown + 1 &&
                fleet.low_total(1, "a") == 5;
     };
     CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));           // no such series
@@ -303,14 +303,14 @@
     for (const Delta& delta : over_limit_store.save(max_message_bytes))
         fleet.stores[0]->apply(delta, fleet.now);
     CHECK(fleet.stores[0]->life_count() == 1);
-    CHECK(fleet.stores[0]->statistics().sections_bad == 1);
+    CHECK(fleet.stores[0]->statistics().sections_invalid == 1);
 }
 
 TEST_CASE("life numbers increase whatever the clock says") {
-    const std::uint64_t first = next_number(1'700'000'000s, 5, 0);
-    CHECK(next_number(1'600'000'000s, 6, first) > first);
-    CHECK(next_number(1'700'000'000s, 5, 0) == first);
-    CHECK(next_number(1'700'000'000s, 6, 0) != first);
+    const std::uint64_t first = next_life_number(1'700'000'000s, 5, 0);
+    CHECK(next_life_number(1'600'000'000s, 6, first) > first);
+    CHECK(next_life_number(1'700'000'000s, 5, 0) == first);
+    CHECK(next_life_number(1'700'000'000s, 6, 0) != first);
 }
 
 } // namespace
--- a/tests/scheduler/counts/fleet.h
+++ b/tests/scheduler/counts/fleet.h
@@ -45,7 +45,7 @@
     // Starts a new life of the instance `name` with an empty store.
     void start(std::size_t index, const std::string& name) {
         if (stores.size() <= index) stores.resize(index + 1);
-        const std::uint64_t number = next_number(now, ++start_count, last_number[name]);
+        const std::uint64_t number = next_life_number(now, ++start_count, last_number[name]);
         last_number[name] = number;
         stores[index] = std::make_unique<CountStore>(limits, Identity{name, number, rate, burst}, now);
     }
