--- a/src/scheduler/swim/members.cpp
+++ b/src/scheduler/swim/members.cpp
@@ -155,7 +155,7 @@
     if (member.state != State::suspect || details.confirmed_by.size() > expected_confirmations) return;
     if (std::ranges::find(details.confirmed_by, source) != details.confirmed_by.end()) return;
     details.confirmed_by.push_back(source);
-    // Lifeguard: the timeout shrinks from three times the base towards the base with each confirmation.
+    // Lifeguard: each confirmation shortens the timeout, from three times the shortest one down to it.
     const double confirmation_ratio =
         std::log(static_cast<double>(details.confirmed_by.size())) / std::log(expected_confirmations + 1.0);
     const double min_timeout = static_cast<double>(min_suspicion_timeout().count());
--- a/src/scheduler/swim/members.h
+++ b/src/scheduler/swim/members.h
@@ -135,6 +135,7 @@
     const Statistics& statistics() const { return statistics_; }
 
   private:
+    // Local data about a member, which is not exchanged.
     struct Details {
         Time state_since{0};                       // start of the current state
         Time suspicion_deadline{0};                // when a suspect is declared dead
@@ -183,10 +184,11 @@
     std::vector<MemberId> probe_round_; // remaining targets of the current probe round, in random order
     std::vector<PendingUpdate> pending_updates_;
     std::vector<RelayedProbe> relayed_probes_; // bounded by `max_relayed_probes`
+    // The probe of the current period.
     struct {
         MemberId target{};
         std::uint32_t sequence = 0;
-        Time indirect_at{0}, ends{0};
+        Time indirect_at{0}, ends{0}; // when the indirect probes are due; `ends` is unused
         bool pending = false, indirect_sent = false;
         std::size_t nacks_expected = 0, nacks = 0;
     } probe_;
--- a/tests/scheduler/counts/book_test.cpp
+++ b/tests/scheduler/counts/book_test.cpp
@@ -174,23 +174,23 @@
     fleet.count(0, "a", 5);
     fleet.stores[0]->end_life(fleet.now);
     fleet.exchange_all();
-    const auto old = fleet.stores[2]->save(max_message_bytes);
+    const auto old_deltas = fleet.stores[2]->save(max_message_bytes);
     fleet.start(0, "i0");
     fleet.exchange_all();
     fleet.stores[0]->fold(fleet.now, false);
     fleet.exchange_all();
     CountStore returned(fleet.limits,
                         {"i2", next_life_number(fleet.now, 99, fleet.last_number["i2"]), 100, 50}, fleet.now);
-    for (const Delta& delta : old)
+    for (const Delta& delta : old_deltas)
         returned.load(delta, fleet.now);
     CHECK(returned.low_total("a", "c", Outcome::served) == 5);
     exchange(returned, *fleet.stores[1], fleet.now);
     exchange(*fleet.stores[1], returned, fleet.now);
     CHECK(returned.low_total("a", "c", Outcome::served) == 5);
     CHECK(fleet.low_total(1, "a") == 5);
-    for (const Delta& delta : old) // directly to the stores that have folded it
-        for (auto& book : fleet.stores)
-            book->apply(delta, fleet.now);
+    for (const Delta& delta : old_deltas) // directly to the stores that have folded it
+        for (auto& store : fleet.stores)
+            store->apply(delta, fleet.now);
     CHECK(fleet.stores[1]->statistics().folded_lives_rejected > 0);
     fleet.exchange_all();
     CHECK(fleet.low_total(0, "a") == 5);
@@ -203,8 +203,8 @@
     fleet.exchange_all();
     fleet.count(0, "a", 3);
     fleet.count(0, "b", 1);
-    exchange(*fleet.stores[0], *fleet.stores[2],
-             fleet.now); // only i2 receives this and is isolated; i0 crashes
+    // Only i2 receives these counts and is isolated; i0 crashes.
+    exchange(*fleet.stores[0], *fleet.stores[2], fleet.now);
     auto isolated = std::move(fleet.stores[2]);
     fleet.stores.pop_back();
     fleet.start(0, "i0");
@@ -264,11 +264,11 @@
     fleet.count(0, "a", 1);
     fleet.stores[0]->publish(fleet.now);
     const std::uint64_t key = fleet.stores[0]->self().key();
-    const auto good = fleet.stores[0]->make_deltas({{key, 2, false}}, max_message_bytes, 1).at(0);
-    REQUIRE(good.cells.size() == 1);
-    const auto bad = [&](auto change) {
-        Delta delta = good;
-        change(delta);
+    const auto valid = fleet.stores[0]->make_deltas({{key, 2, false}}, max_message_bytes, 1).at(0);
+    REQUIRE(valid.cells.size() == 1);
+    const auto is_rejected = [&](auto modify) {
+        Delta delta = valid;
+        modify(delta);
         const auto before = fleet.stores[1]->statistics();
         fleet.stores[1]->apply(delta, fleet.now);
         const auto& after = fleet.stores[1]->statistics();
@@ -276,26 +276,25 @@
                    before.sections_invalid + before.sections_gap + before.sections_unknown + 1 &&
                fleet.low_total(1, "a") == 5;
     };
-    CHECK(bad([](Delta& d) { d.cells[0].slot = 8; }));           // no such series
-    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 0; })); // not after `from`
-    CHECK(bad([](Delta& d) { d.cells[0].version_offset = 9; })); // after `to`
-    CHECK(bad([](Delta& d) { d.cells.push_back(d.cells[0]); }));
+    CHECK(is_rejected([](Delta& d) { d.cells[0].slot = 8; }));           // no such series
+    CHECK(is_rejected([](Delta& d) { d.cells[0].version_offset = 0; })); // not after `from`
+    CHECK(is_rejected([](Delta& d) { d.cells[0].version_offset = 9; })); // after `to`
+    CHECK(is_rejected([](Delta& d) { d.cells.push_back(d.cells[0]); }));
     // Found by fuzzing: sums of such values overflowed 64 bits.
-    CHECK(bad([](Delta& d) { d.cells[0].value = max_cell_value + 1; }));
-    CHECK(bad([](Delta& d) { d.sections[0].cell_count = 2; }));
-    CHECK(bad([](Delta& d) {
+    CHECK(is_rejected([](Delta& d) { d.cells[0].value = max_cell_value + 1; }));
+    CHECK(is_rejected([](Delta& d) { d.sections[0].cell_count = 2; }));
+    CHECK(is_rejected([](Delta& d) {
         d.sections[0].from = 7;
         d.sections[0].to = 9;
     }));
-    CHECK(bad([](Delta& d) { d.sections[0].to = 0; }));
-    CHECK(bad([](Delta& d) { d.sections[0].key ^= 1; }));
-    fleet.stores[1]->apply(good, fleet.now);
+    CHECK(is_rejected([](Delta& d) { d.sections[0].to = 0; }));
+    CHECK(is_rejected([](Delta& d) { d.sections[0].key ^= 1; }));
+    fleet.stores[1]->apply(valid, fleet.now);
     CHECK(fleet.low_total(1, "a") == 6);
 }
 
-TEST_CASE(
-    "an instance that declares a rate limit above the maximum is rejected") { // found by fuzzing: `high`
-                                                                              // overflowed 64 bits
+// Found by fuzzing: `high` overflowed 64 bits.
+TEST_CASE("an instance that declares a rate limit above the maximum is rejected") {
     Fleet fleet(1);
     CountStore over_limit_store(fleet.limits, {"loud", 1, ~std::uint64_t{0}, 1}, fleet.now);
     over_limit_store.count(over_limit_store.series("a", "c"), Outcome::served);
--- a/tests/scheduler/swim/members_test.cpp
+++ b/tests/scheduler/swim/members_test.cpp
@@ -18,6 +18,7 @@
     return result;
 }
 
+// The state of `subject` in the view of `reader`; `left` if it is unknown there.
 State state_at(World& world, std::size_t reader, std::size_t subject) {
     const Member& self = world.node(subject).members().self();
     const auto& others = world.node(reader).members().others();
@@ -25,6 +26,7 @@
     return found == others.end() ? State::left : found->second.state;
 }
 
+// Starts the instances and waits until each sees all of them as alive.
 void start(World& world, std::size_t size) {
     for (std::size_t i = 0; i < size; ++i)
         world.add();
