--- a/fuzz/snapshot_fuzz.cpp
+++ b/fuzz/snapshot_fuzz.cpp
@@ -16,7 +16,7 @@
     std::span<const unsigned char> content;
     static_cast<void>(atomic_file::unpack(bytes, 1, content));
     const atomic_file::Bytes packed = atomic_file::pack(bytes, 1);
-    if (atomic_file::unpack(packed, 1, content) != atomic_file::Found::whole || content.size() != size)
+    if (atomic_file::unpack(packed, 1, content) != atomic_file::LoadStatus::intact || content.size() != size)
         __builtin_trap();
     const auto snapshot = willowrill::gossip::decode_snapshot(bytes);
     if (!snapshot) return 0;
--- a/src/scheduler/atomic_file/store.cpp
+++ b/src/scheduler/atomic_file/store.cpp
@@ -68,7 +68,7 @@
 
 } // namespace
 
-int Disk::write(const std::string& path, std::span<const unsigned char> bytes) {
+int FileSystem::write(const std::string& path, std::span<const unsigned char> bytes) {
     const File file(path, O_WRONLY | O_CREAT | O_TRUNC);
     if (file.get() < 0) return errno;
     while (!bytes.empty()) {
@@ -80,14 +80,14 @@
     return 0;
 }
 
-int Disk::sync(const std::string& path) { return sync_path(path, O_RDONLY); }
-int Disk::sync_folder(const std::string& path) { return sync_path(path, O_RDONLY | O_DIRECTORY); }
+int FileSystem::sync(const std::string& path) { return sync_path(path, O_RDONLY); }
+int FileSystem::sync_folder(const std::string& path) { return sync_path(path, O_RDONLY | O_DIRECTORY); }
 
-int Disk::rename(const std::string& from, const std::string& to) {
+int FileSystem::rename(const std::string& from, const std::string& to) {
     return std::rename(from.c_str(), to.c_str()) == 0 ? 0 : errno;
 }
 
-int Disk::read(const std::string& path, Bytes& into, std::size_t most) {
+int FileSystem::read(const std::string& path, Bytes& into, std::size_t most) {
     const File file(path, O_RDONLY);
     struct stat about {};
     if (file.get() < 0 || ::fstat(file.get(), &about) != 0) return errno;
@@ -106,8 +106,8 @@
     return 0;
 }
 
-void Disk::tidy(const std::string& folder, const std::string& prefix,
-                bool (*abandoned)(std::string_view rest)) {
+void FileSystem::tidy(const std::string& folder, const std::string& prefix,
+                      bool (*abandoned)(std::string_view rest)) {
     std::error_code error;
     std::vector<std::filesystem::path> found;
     for (std::filesystem::directory_iterator at(folder, error), end; !error && at != end;
@@ -120,7 +120,7 @@
         std::filesystem::remove(path, error);
 }
 
-const char* name_of(Found found) {
+const char* name_of(LoadStatus found) {
     static constexpr std::array<const char*, 6> names{"whole", "none", "torn", "foreign", "newer", "unread"};
     return names.at(static_cast<std::size_t>(found));
 }
@@ -135,28 +135,29 @@
     return out;
 }
 
-Found unpack(std::span<const unsigned char> file, std::uint32_t format,
-             std::span<const unsigned char>& content) {
+LoadStatus unpack(std::span<const unsigned char> file, std::uint32_t format,
+                  std::span<const unsigned char>& content) {
     const std::size_t there = std::min(file.size(), magic.size());
     if (there == 0 ||
         !std::equal(file.begin(), file.begin() + static_cast<std::ptrdiff_t>(there), magic.begin()))
-        return Found::foreign;
-    if (file.size() < head) return Found::torn;
+        return LoadStatus::unrecognized;
+    if (file.size() < head) return LoadStatus::corrupt;
     const auto stated = get<std::uint32_t>(file.subspan(magic.size()));
-    if (stated > format) return Found::newer;
-    if (stated == 0) return Found::torn;
+    if (stated > format) return LoadStatus::newer_format;
+    if (stated == 0) return LoadStatus::corrupt;
     content = file.subspan(head);
-    if (get<std::uint64_t>(file.subspan(magic.size() + 4)) != content.size()) return Found::torn;
+    if (get<std::uint64_t>(file.subspan(magic.size() + 4)) != content.size()) return LoadStatus::corrupt;
     const std::uint64_t sum = XXH3_64bits_withSeed(content.data(), content.size(), stated);
-    return get<std::uint64_t>(file.subspan(magic.size() + 12)) == sum ? Found::whole : Found::torn;
+    return get<std::uint64_t>(file.subspan(magic.size() + 12)) == sum ? LoadStatus::intact
+                                                                      : LoadStatus::corrupt;
 }
 
-Store::Store(std::string folder, std::string name, std::uint32_t format, Disk& disk)
+AtomicFile::AtomicFile(std::string folder, std::string name, std::uint32_t format, FileSystem& disk)
     : folder_(std::move(folder)), name_(std::move(name)), path_(folder_ + "/" + name_),
       temporary_(path_ + std::string(mark) + std::to_string(::getpid()) + "-" + std::to_string(made++)),
       format_(format), disk_(disk) {}
 
-std::optional<std::string> Store::save(std::span<const unsigned char> content) {
+std::optional<std::string> AtomicFile::save(std::span<const unsigned char> content) {
     const std::string& temporary = temporary_;
     const auto failed = [](const std::string& what, int error) {
         return "cannot " + what + ": " + std::strerror(error);
@@ -170,27 +171,27 @@
     return std::nullopt;
 }
 
-Store::Loaded Store::load() {
+AtomicFile::LoadResult AtomicFile::load() {
     // What a process that died left half written; one that lives is another run beside this one.
     disk_.tidy(folder_, name_ + std::string(mark), writer_is_gone);
-    Loaded out;
+    LoadResult out;
     Bytes file;
     if (const int error = disk_.read(path_, file, max_bytes)) {
-        out.found = error == ENOENT ? Found::none : Found::unread;
-        if (error != ENOENT) out.note = path_ + " cannot be read: " + std::strerror(error);
+        out.status = error == ENOENT ? LoadStatus::missing : LoadStatus::unreadable;
+        if (error != ENOENT) out.message = path_ + " cannot be read: " + std::strerror(error);
         return out;
     }
     std::span<const unsigned char> content;
-    out.found = unpack(file, format_, content);
-    if (out.found == Found::whole) {
+    out.status = unpack(file, format_, content);
+    if (out.status == LoadStatus::intact) {
         out.content.assign(content.begin(), content.end());
         return out;
     }
     const std::string aside = path_ + ".aside";
     const int error = disk_.rename(path_, aside);
-    out.note = path_ + " is " + name_of(out.found) + " (" + std::to_string(file.size()) + " bytes); " +
-               (error == 0 ? "put aside as " + aside
-                           : "it cannot be put aside: " + std::string(std::strerror(error)));
+    out.message = path_ + " is " + name_of(out.status) + " (" + std::to_string(file.size()) + " bytes); " +
+                  (error == 0 ? "put aside as " + aside
+                              : "it cannot be put aside: " + std::string(std::strerror(error)));
     return out;
 }
 
--- a/src/scheduler/atomic_file/store.h
+++ b/src/scheduler/atomic_file/store.h
@@ -16,9 +16,9 @@
 using Bytes = std::vector<unsigned char>;
 
 // The system calls, one by one, so that tests can fail or end at each. Results as errno; 0 is success.
-class Disk {
+class FileSystem {
   public:
-    virtual ~Disk() = default;
+    virtual ~FileSystem() = default;
     virtual int write(const std::string& path, std::span<const unsigned char> bytes); // creates or empties it
     virtual int sync(const std::string& path);
     virtual int rename(const std::string& from, const std::string& to);
@@ -29,44 +29,44 @@
                       bool (*abandoned)(std::string_view rest));
 };
 
-enum class Found : std::uint8_t {
-    whole,
-    none,    // there is no file
-    torn,    // ours, but its length or checksum does not fit
-    foreign, // not ours, or empty
-    newer,   // of a later version of the program
-    unread   // the system says no
+enum class LoadStatus : std::uint8_t {
+    intact,
+    missing,      // there is no file
+    corrupt,      // ours, but its length or checksum does not fit
+    unrecognized, // not ours, or empty
+    newer_format, // of a later version of the program
+    unreadable    // the system says no
 };
-const char* name_of(Found found);
+const char* name_of(LoadStatus found);
 
 // Magic, format, length and checksum stand before the content.
 Bytes pack(std::span<const unsigned char> content, std::uint32_t format);
-Found unpack(std::span<const unsigned char> file, std::uint32_t format,
-             std::span<const unsigned char>& content);
+LoadStatus unpack(std::span<const unsigned char> file, std::uint32_t format,
+                  std::span<const unsigned char>& content);
 
-class Store {
+class AtomicFile {
   public:
     static constexpr std::size_t max_bytes = 1U << 30U;
 
-    Store(std::string folder, std::string name, std::uint32_t format, Disk& disk);
+    AtomicFile(std::string folder, std::string name, std::uint32_t format, FileSystem& disk);
 
     // An error in one sentence for the operators, or nothing. The former content stays readable until the new
     // one is.
     std::optional<std::string> save(std::span<const unsigned char> content);
-    struct Loaded {
-        Found found{};
+    struct LoadResult {
+        LoadStatus status{};
         Bytes content;
-        std::string note; // for the operators: what was wrong, and where the file is now
+        std::string message; // for the operators: what was wrong, and where the file is now
     };
     // What is of no use is renamed, and the place is free.
-    Loaded load();
+    LoadResult load();
 
     const std::string& path() const { return path_; }
 
   private:
     std::string folder_, name_, path_, temporary_; // the last: no other process's, nor another store's here
     std::uint32_t format_;
-    Disk& disk_;
+    FileSystem& disk_;
 };
 
 } // namespace willowrill::atomic_file
--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -69,7 +69,7 @@
     ++open_messages_;
     held_bytes_ += bytes;
     ++counters_.admitted;
-    if (log::wanted(spdlog::level::debug)) {
+    if (log::is_enabled(spdlog::level::debug)) {
         const Message& admitted_message = entries_[job].message;
         log::event(spdlog::level::debug, "message.taken_in",
                    {{"message", admitted_message.id},
@@ -108,7 +108,7 @@
     if (status == FinalStatus::failed) ++totals.failed;
     if (message_observer_ != nullptr)
         message_observer_->on_message_ended(entry.message.job_class, entry.message.tenant, status);
-    if (log::wanted(spdlog::level::debug)) {
+    if (log::is_enabled(spdlog::level::debug)) {
         log::event(
             spdlog::level::debug, "message.over",
             {{"message", entry.message.id},
@@ -180,7 +180,7 @@
     --entry.references;
     --attempts_in_flight_;
     ++counters_.outcomes[static_cast<std::size_t>(outcome)];
-    if (log::wanted(spdlog::level::debug)) {
+    if (log::is_enabled(spdlog::level::debug)) {
         const willowrill::Report reported = report.value_or(willowrill::Report{});
         const std::chrono::duration<double, std::milli> elapsed = now - ended_attempt.sent;
         const std::string_view name = outcome_names[static_cast<std::size_t>(outcome)];
--- a/src/scheduler/gossip/snapshots.cpp
+++ b/src/scheduler/gossip/snapshots.cpp
@@ -25,9 +25,9 @@
 }
 
 std::optional<Snapshot> SnapshotStore::load(std::string& warning) {
-    atomic_file::Store::Loaded loaded = store_.load();
-    warning = std::move(loaded.note);
-    if (loaded.found != atomic_file::Found::whole) return std::nullopt;
+    atomic_file::AtomicFile::LoadResult loaded = store_.load();
+    warning = std::move(loaded.message);
+    if (loaded.status != atomic_file::LoadStatus::intact) return std::nullopt;
     auto snapshot = decode_snapshot(loaded.content);
     if (!snapshot)
         warning = store_.path() + " has a valid checksum but contains no snapshot; continuing without it";
--- a/src/scheduler/gossip/snapshots.h
+++ b/src/scheduler/gossip/snapshots.h
@@ -34,8 +34,8 @@
   private:
     void write_loop();
 
-    atomic_file::Disk disk_;
-    atomic_file::Store store_;
+    atomic_file::FileSystem disk_;
+    atomic_file::AtomicFile store_;
     mutable std::mutex mutex_;
     std::condition_variable wake_;
     std::optional<Bytes> pending_;
--- a/src/scheduler/log/log.cpp
+++ b/src/scheduler/log/log.cpp
@@ -142,7 +142,7 @@
 
 void event(spdlog::level::level_enum level, std::string_view name, std::initializer_list<Field> fields,
            std::string_view sentence) {
-    if (!wanted(level)) return;
+    if (!is_enabled(level)) return;
     const Event here{name, fields};
     current = &here;
     spdlog::log(level, "{}", sentence);
--- a/src/scheduler/log/log.h
+++ b/src/scheduler/log/log.h
@@ -24,7 +24,7 @@
 void set_up(bool json, std::string instance);
 std::uint64_t dropped_lines(); // since the start
 
-inline bool wanted(spdlog::level::level_enum level) { return spdlog::should_log(level); }
+inline bool is_enabled(spdlog::level::level_enum level) { return spdlog::should_log(level); }
 // Names of events are listed in docs/scheduler/operations.md; they do not change, the sentences may.
 void event(spdlog::level::level_enum level, std::string_view name, std::initializer_list<Field> fields,
            std::string_view sentence);
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -178,7 +178,7 @@
 
     // Numbers of workers differ from one scheduler to the next: whoever joins their logs needs the names.
     void log_entries(const willowrill::EndpointListUpdate& news) const {
-        if (!log::wanted(spdlog::level::debug)) return;
+        if (!log::is_enabled(spdlog::level::debug)) return;
         constexpr std::array<std::string_view, 3> conditions{"ready", "draining", "gone"};
         for (const willowrill::WorkerEntry& entry : news.entries) {
             const std::string_view kind = list_.names().kinds[entry.kind],
--- a/tests/scheduler/atomic_file/store_test.cpp
+++ b/tests/scheduler/atomic_file/store_test.cpp
@@ -24,7 +24,7 @@
 
 // A disk in memory that tells what was written from what would survive the loss of power, and dies at a
 // chosen call.
-struct Fake final : Disk {
+struct Fake final : FileSystem {
     struct Death {};
     struct Content {
         Bytes now, on_disk;
@@ -82,12 +82,12 @@
 
 TEST_CASE("what was saved is read, and again after the loss of power") {
     Fake disk;
-    Store store("/d", "f", 1, disk);
-    CHECK(store.load().found == Found::none);
+    AtomicFile store("/d", "f", 1, disk);
+    CHECK(store.load().status == LoadStatus::missing);
     CHECK_FALSE(store.save(bytes("one")));
     disk.lose_power(false);
     const auto loaded = store.load();
-    CHECK(loaded.found == Found::whole);
+    CHECK(loaded.status == LoadStatus::intact);
     CHECK(loaded.content == bytes("one"));
 }
 
@@ -97,7 +97,7 @@
             for (int at = 1; at <= 4; ++at) {
                 CAPTURE(at);
                 Fake disk;
-                Store store("/d", "f", 1, disk);
+                AtomicFile store("/d", "f", 1, disk);
                 REQUIRE_FALSE(store.save(bytes("old")));
                 disk.calls = 0;
                 disk.die_at = at;
@@ -105,7 +105,7 @@
                 disk.die_at = -1;
                 if (power_lost) disk.lose_power(names_survive);
                 const auto loaded = store.load();
-                REQUIRE(loaded.found == Found::whole);
+                REQUIRE(loaded.status == LoadStatus::intact);
                 CHECK((loaded.content == bytes("old") || loaded.content == bytes("new one")));
                 CHECK_FALSE(store.save(bytes("next"))); // what the dead one left is in nobody's way
                 CHECK(store.load().content == bytes("next"));
@@ -117,7 +117,7 @@
 TEST_CASE("a call that fails is told in a sentence, and the old stays") {
     for (int at = 1; at <= 3; ++at) {
         Fake disk;
-        Store store("/d", "f", 1, disk);
+        AtomicFile store("/d", "f", 1, disk);
         REQUIRE_FALSE(store.save(bytes("old")));
         disk.calls = 0;
         disk.fail_at = at;
@@ -132,7 +132,7 @@
 // death of one while the other renamed took the old content with it.
 TEST_CASE("two processes that write one file leave it whole") {
     Fake disk;
-    Store one("/d", "f", 1, disk), two("/d", "f", 1, disk);
+    AtomicFile one("/d", "f", 1, disk), two("/d", "f", 1, disk);
     REQUIRE_FALSE(one.save(bytes("old")));
     disk.before_rename = [&] {
         disk.calls = 0;
@@ -141,23 +141,23 @@
         disk.die_at = -1;
     };
     one.save(bytes("new"));
-    CHECK(one.load().found == Found::whole);
+    CHECK(one.load().status == LoadStatus::intact);
 }
 
 TEST_CASE(
     "two real processes, one of them killed while it writes, leave a file whole and nothing beside it") {
     const lab::Folder own;
     const std::string& folder = own.path;
-    Disk disk;
+    FileSystem disk;
     const Bytes large(1U << 20U, 'x');
-    REQUIRE_FALSE(Store(folder, "f", 1, disk).save(large));
+    REQUIRE_FALSE(AtomicFile(folder, "f", 1, disk).save(large));
     for (int round = 0; round < 10; ++round) {
         std::array<int, 2> ready{};
         REQUIRE(::pipe(ready.data()) == 0);
         const pid_t child = ::fork();
         if (child == 0) { // writes until it is killed
-            Disk its_own;
-            Store store(folder, "f", 1, its_own);
+            FileSystem its_own;
+            AtomicFile store(folder, "f", 1, its_own);
             store.save(large);
             if (::write(ready[1], "r", 1) != 1) ::_exit(1);
             for (;;)
@@ -165,7 +165,7 @@
         }
         char word = 0;
         CHECK(::read(ready[0], &word, 1) == 1);
-        Store here(folder, "f", 1, disk);
+        AtomicFile here(folder, "f", 1, disk);
         for (int i = 0; i < 3 + round; ++i)
             CHECK_FALSE(here.save(large));
         ::kill(child, SIGKILL);
@@ -173,7 +173,7 @@
         ::close(ready[0]);
         ::close(ready[1]);
         const auto loaded = here.load();
-        CHECK(loaded.found == Found::whole);
+        CHECK(loaded.status == LoadStatus::intact);
         CHECK(loaded.content == large);
     }
     CHECK(std::distance(std::filesystem::directory_iterator(folder), {}) == 1); // the file alone
@@ -185,27 +185,28 @@
         std::span<const unsigned char> content;
         return unpack(file, 1, content);
     };
-    CHECK(found(good) == Found::whole);
+    CHECK(found(good) == LoadStatus::intact);
     for (std::size_t size = 1; size < good.size(); ++size)
-        CHECK(found(Bytes(good.begin(), good.begin() + static_cast<std::ptrdiff_t>(size))) == Found::torn);
+        CHECK(found(Bytes(good.begin(), good.begin() + static_cast<std::ptrdiff_t>(size))) ==
+              LoadStatus::corrupt);
     for (std::size_t at = 8; at < good.size(); ++at) {
         Bytes flipped = good;
         flipped[at] ^= 1U;
-        const Found what = found(flipped);
-        CHECK((what == Found::torn || what == Found::newer));
+        const LoadStatus what = found(flipped);
+        CHECK((what == LoadStatus::corrupt || what == LoadStatus::newer_format));
     }
-    CHECK(found({}) == Found::foreign);
-    CHECK(found(bytes("{\"json\": true, \"long enough for a head\": 1}")) == Found::foreign);
-    CHECK(found(pack(bytes("x"), 2)) == Found::newer);
+    CHECK(found({}) == LoadStatus::unrecognized);
+    CHECK(found(bytes("{\"json\": true, \"long enough for a head\": 1}")) == LoadStatus::unrecognized);
+    CHECK(found(pack(bytes("x"), 2)) == LoadStatus::newer_format);
 
     Fake disk;
-    Store store("/d", "f", 1, disk);
+    AtomicFile store("/d", "f", 1, disk);
     disk.write("/d/f", bytes("something else"));
     const auto loaded = store.load();
-    CHECK(loaded.found == Found::foreign);
-    CHECK(loaded.note.find("foreign") != std::string::npos);
+    CHECK(loaded.status == LoadStatus::unrecognized);
+    CHECK(loaded.message.find("foreign") != std::string::npos);
     CHECK(disk.names.contains("/d/f.aside")); // nothing is destroyed
-    CHECK(store.load().found == Found::none);
+    CHECK(store.load().status == LoadStatus::missing);
 }
 
 } // namespace
--- a/tests/scheduler/log/log_test.cpp
+++ b/tests/scheduler/log/log_test.cpp
@@ -27,7 +27,7 @@
     sink->set_formatter(json_lines("i\"1"));
     const auto before = spdlog::default_logger();
     spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", sink));
-    CHECK(wanted(spdlog::level::info));
+    CHECK(is_enabled(spdlog::level::info));
     event(spdlog::level::info, "message.over", {{"worker", std::uint64_t{7}}, {"tenant", "a"}}, "it is over");
     event(spdlog::level::debug, "message.over", {}, "not at this level");
     spdlog::info("plain");
