--- a/src/scheduler/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -36,9 +36,9 @@
         // The same words as in the text form, with the line and key apart.
         std::cout << "[";
         for (std::size_t i = 0; i < problems.size(); ++i) {
-            std::cout << (i > 0 ? ",\n" : "\n") << "{\"file\":" << log::json_text(problems[i].file)
-                      << ",\"line\":" << problems[i].line << ",\"key\":" << log::json_text(problems[i].key)
-                      << ",\"problem\":" << log::json_text(problems[i].what) << "}";
+            std::cout << (i > 0 ? ",\n" : "\n") << "{\"file\":" << log::json_quote(problems[i].file)
+                      << ",\"line\":" << problems[i].line << ",\"key\":" << log::json_quote(problems[i].key)
+                      << ",\"problem\":" << log::json_quote(problems[i].what) << "}";
         }
         std::cout << "]\n";
     } else {
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -13,7 +13,7 @@
 namespace willowrill::fleet {
 namespace {
 
-using log::json_text;
+using log::json_quote;
 using prometheus::MetricType;
 
 constexpr counts::SeriesIndex unknown = std::numeric_limits<counts::SeriesIndex>::max();
@@ -21,8 +21,8 @@
                                                                             "left"};
 
 std::string member_json(const swim::Member& member) {
-    return "{\"name\":" + json_text(member.id.name) + ",\"life\":" + std::to_string(member.id.life) +
-           ",\"address\":" + json_text(gossip::endpoint_of(member.address).text()) + ",\"state\":\"" +
+    return "{\"name\":" + json_quote(member.id.name) + ",\"life\":" + std::to_string(member.id.life) +
+           ",\"address\":" + json_quote(gossip::endpoint_of(member.address).text()) + ",\"state\":\"" +
            std::string(swim::name_of(member.state)) +
            "\",\"incarnation\":" + std::to_string(member.incarnation) + "}";
 }
@@ -73,13 +73,13 @@
     if (!counts_) return "";
     const counts::Totals totals = mesh_.node().count_store().totals(loop_.now());
     std::string out =
-        "{\"instance\":" + json_text(mesh_.node().count_store().self().instance) +
+        "{\"instance\":" + json_quote(mesh_.node().count_store().self().instance) +
         ",\"instances\":" + std::to_string(totals.instances) + ",\"lives\":" + std::to_string(totals.lives) +
         ",\"age_ms\":" + std::to_string(std::chrono::ceil<std::chrono::milliseconds>(totals.age).count()) +
         ",\"slack\":" + std::to_string(totals.slack) + ",\"totals\":[";
     for (const counts::Total& row : totals.rows) {
         if (out.back() != '[') out += ',';
-        out += "\n{\"tenant\":" + json_text(row.tenant) + ",\"class\":" + json_text(row.job_class) +
+        out += "\n{\"tenant\":" + json_quote(row.tenant) + ",\"class\":" + json_quote(row.job_class) +
                ",\"outcome\":\"" + std::string(outcome_names.at(static_cast<std::size_t>(row.outcome))) +
                "\",\"low\":" + std::to_string(row.low) + ",\"estimate\":" + std::to_string(row.estimate) +
                ",\"high\":" + std::to_string(row.high) + "}";
--- a/src/scheduler/log/log.cpp
+++ b/src/scheduler/log/log.cpp
@@ -19,20 +19,21 @@
     std::string_view name;
     std::initializer_list<Field> fields;
 };
-// The event whose line is being written. One thread logs; the pointer is set for the one call only.
-const Event* current = nullptr;
-
-std::size_t utf8_length(std::string_view text) { // of the character at the front; 0: none
-    const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(text[i]); };
-    const unsigned char first = byte(0);
-    const std::size_t length = first < 0x80 ? 1 : first < 0xc2 ? 0 : first < 0xe0 ? 2 : first < 0xf0 ? 3 : 4;
-    if (length == 0 || first > 0xf4 || text.size() < length) return 0;
+// The event whose line is being written; null outside `event`. Not synchronized: only one thread logs.
+const Event* current_event = nullptr;
+
+// The length in bytes of the character at the front of the text; 0 if it is not valid UTF-8.
+std::size_t utf8_sequence_length(std::string_view text) {
+    const auto byte_at = [&](std::size_t i) { return static_cast<unsigned char>(text[i]); };
+    const unsigned char lead = byte_at(0);
+    const std::size_t length = lead < 0x80 ? 1 : lead < 0xc2 ? 0 : lead < 0xe0 ? 2 : lead < 0xf0 ? 3 : 4;
+    if (length == 0 || lead > 0xf4 || text.size() < length) return 0;
     for (std::size_t i = 1; i < length; ++i)
-        if ((byte(i) & 0xc0U) != 0x80) return 0;
-    if (first == 0xe0 && byte(1) < 0xa0) return 0; // overlong
-    if (first == 0xed && byte(1) > 0x9f) return 0; // a surrogate
-    if (first == 0xf0 && byte(1) < 0x90) return 0;
-    if (first == 0xf4 && byte(1) > 0x8f) return 0;
+        if ((byte_at(i) & 0xc0U) != 0x80) return 0;
+    if (lead == 0xe0 && byte_at(1) < 0xa0) return 0; // overlong encoding
+    if (lead == 0xed && byte_at(1) > 0x9f) return 0; // UTF-16 surrogate
+    if (lead == 0xf0 && byte_at(1) < 0x90) return 0;
+    if (lead == 0xf4 && byte_at(1) > 0x8f) return 0;
     return length;
 }
 
@@ -47,19 +48,19 @@
         line.append(time.data(), time.size());
         const auto level = spdlog::level::to_string_view(message.level);
         line.append("\",\"level\":\"").append(level.data(), level.size());
-        line += "\",\"event\":" + json_text(current != nullptr ? current->name : "log");
-        if (!instance_.empty()) line += ",\"instance\":" + json_text(instance_);
-        if (current != nullptr) {
-            for (const Field& field : current->fields) {
-                line += "," + json_text(field.name) + ":";
-                if (const auto* text = std::get_if<std::string_view>(&field.value)) line += json_text(*text);
+        line += "\",\"event\":" + json_quote(current_event != nullptr ? current_event->name : "log");
+        if (!instance_.empty()) line += ",\"instance\":" + json_quote(instance_);
+        if (current_event != nullptr) {
+            for (const Field& field : current_event->fields) {
+                line += "," + json_quote(field.name) + ":";
+                if (const auto* text = std::get_if<std::string_view>(&field.value)) line += json_quote(*text);
                 if (const auto* count = std::get_if<std::uint64_t>(&field.value))
                     line += std::to_string(*count);
                 if (const auto* number = std::get_if<double>(&field.value))
                     line += fmt::format("{:.6g}", *number);
             }
         }
-        line += ",\"text\":" + json_text({message.payload.data(), message.payload.size()}) + "}\n";
+        line += ",\"text\":" + json_quote({message.payload.data(), message.payload.size()}) + "}\n";
         out.append(line.data(), line.data() + line.size());
     }
     std::unique_ptr<spdlog::formatter> clone() const override {
@@ -71,43 +72,45 @@
     spdlog::pattern_formatter time_{"%Y-%m-%dT%H:%M:%S.%eZ", spdlog::pattern_time_type::utc, ""};
 };
 
-class StandardError final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+// Writes to standard error without blocking and reports the lines dropped because of that.
+class StderrSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
   public:
-    std::uint64_t dropped() const { return outlet_.dropped(); }
+    std::uint64_t dropped() const { return writer_.dropped(); }
 
   protected:
     void sink_it_(const spdlog::details::log_msg& message) override {
-        if (outlet_.dropped() > reported_ && outlet_.has_room()) {
+        if (writer_.dropped() > reported_drops_ && writer_.has_room()) {
             const std::string text =
-                fmt::format("log: {} lines were dropped, as nobody read them", outlet_.dropped() - reported_);
-            const std::uint64_t before = outlet_.dropped();
-            const Event* const about = std::exchange(current, nullptr);
+                fmt::format("log: {} lines were dropped because standard error could not take them",
+                            writer_.dropped() - reported_drops_);
+            const std::uint64_t dropped_before = writer_.dropped();
+            const Event* const suspended_event = std::exchange(current_event, nullptr);
             const spdlog::details::log_msg notice(message.logger_name, spdlog::level::warn, text);
-            if (put(notice)) reported_ = before;
-            current = about;
+            if (write_message(notice)) reported_drops_ = dropped_before;
+            current_event = suspended_event;
         }
-        put(message);
+        write_message(message);
     }
-    void flush_() override {} // nothing is held back that there is room for
+    void flush_() override {} // lines are written at once or dropped
 
   private:
-    bool put(const spdlog::details::log_msg& message) {
+    bool write_message(const spdlog::details::log_msg& message) {
         spdlog::memory_buf_t line;
         formatter_->format(message, line);
-        return outlet_.write({line.data(), line.size()});
+        return writer_.write({line.data(), line.size()});
     }
 
-    Outlet outlet_{STDERR_FILENO};
-    std::uint64_t reported_ = 0; // of those dropped
+    NonBlockingWriter writer_{STDERR_FILENO};
+    std::uint64_t reported_drops_ = 0; // dropped lines already reported
 };
-std::shared_ptr<StandardError> sink; // of the process's logger
+std::shared_ptr<StderrSink> stderr_sink; // the sink of the default logger
 
 } // namespace
 
-std::string json_text(std::string_view text) {
+std::string json_quote(std::string_view text) {
     std::string out = "\"";
     while (!text.empty()) {
-        const std::size_t length = utf8_length(text);
+        const std::size_t length = utf8_sequence_length(text);
         const char c = text.front();
         if (length == 0) {
             out += "\xef\xbf\xbd";
@@ -123,30 +126,30 @@
     return out + "\"";
 }
 
-std::unique_ptr<spdlog::formatter> json_lines(std::string instance) {
+std::unique_ptr<spdlog::formatter> make_json_formatter(std::string instance) {
     return std::make_unique<JsonFormatter>(std::move(instance));
 }
 
-void set_up(bool json, std::string instance) {
+void configure_logging(bool json, std::string instance) {
     spdlog::drop("willowrill");
-    sink = std::make_shared<StandardError>();
-    spdlog::set_default_logger(std::make_shared<spdlog::logger>("willowrill", sink));
+    stderr_sink = std::make_shared<StderrSink>();
+    spdlog::set_default_logger(std::make_shared<spdlog::logger>("willowrill", stderr_sink));
     if (json) {
-        spdlog::set_formatter(json_lines(std::move(instance)));
+        spdlog::set_formatter(make_json_formatter(std::move(instance)));
     } else {
         spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
     }
 }
 
-std::uint64_t dropped_lines() { return sink ? sink->dropped() : 0; }
+std::uint64_t dropped_lines() { return stderr_sink ? stderr_sink->dropped() : 0; }
 
 void event(spdlog::level::level_enum level, std::string_view name, std::initializer_list<Field> fields,
-           std::string_view sentence) {
+           std::string_view text) {
     if (!is_enabled(level)) return;
-    const Event here{name, fields};
-    current = &here;
-    spdlog::log(level, "{}", sentence);
-    current = nullptr;
+    const Event named_event{name, fields};
+    current_event = &named_event;
+    spdlog::log(level, "{}", text);
+    current_event = nullptr;
 }
 
 } // namespace willowrill::log
--- a/src/scheduler/log/outlet.cpp
+++ b/src/scheduler/log/outlet.cpp
@@ -10,58 +10,59 @@
 
 namespace willowrill::log {
 
-// Others may share the descriptor, so its flags are not ours to change: a pipe is opened once more, a socket
-// is told with each call, and elsewhere (a terminal may be held) poll is asked first.
-Outlet::Outlet(int fd) : fd_(fd) {
-    struct stat about {};
-    if (::fstat(fd, &about) != 0) return;
-    if (S_ISSOCK(about.st_mode)) kind_ = Kind::socket;
-    if (!S_ISFIFO(about.st_mode)) return;
+// Other processes may share the open file description, so O_NONBLOCK must not be set on it. A pipe is
+// reopened with its own flags, a socket takes MSG_DONTWAIT with each call, and any other descriptor is polled
+// before each write (a terminal may be stopped).
+NonBlockingWriter::NonBlockingWriter(int fd) : fd_(fd) {
+    struct stat status {};
+    if (::fstat(fd, &status) != 0) return;
+    if (S_ISSOCK(status.st_mode)) kind_ = Kind::socket;
+    if (!S_ISFIFO(status.st_mode)) return;
     const std::string path = "/proc/self/fd/" + std::to_string(fd);
-    const int own = ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC);
-    if (own < 0) return;
-    fd_ = own;
-    kind_ = Kind::own;
+    const int reopened = ::open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC);
+    if (reopened < 0) return;
+    fd_ = reopened;
+    kind_ = Kind::reopened;
 }
 
-Outlet::~Outlet() {
-    if (kind_ == Kind::own) ::close(fd_);
+NonBlockingWriter::~NonBlockingWriter() {
+    if (kind_ == Kind::reopened) ::close(fd_);
 }
 
-bool Outlet::write(std::string_view line) {
+bool NonBlockingWriter::write(std::string_view line) {
     if (!has_room()) {
         ++dropped_;
         return false;
     }
-    const long done = put(line);
-    if (done <= 0) {
+    const long written = write_some(line);
+    if (written <= 0) {
         ++dropped_;
         return false;
     }
-    rest_ = line.substr(static_cast<std::size_t>(done));
+    pending_ = line.substr(static_cast<std::size_t>(written));
     return true;
 }
 
-bool Outlet::has_room() {
-    if (rest_.empty()) return true;
-    const long done = put(rest_);
-    if (done > 0) rest_.erase(0, static_cast<std::size_t>(done));
-    return rest_.empty();
+bool NonBlockingWriter::has_room() {
+    if (pending_.empty()) return true;
+    const long written = write_some(pending_);
+    if (written > 0) pending_.erase(0, static_cast<std::size_t>(written));
+    return pending_.empty();
 }
 
-long Outlet::put(std::string_view bytes) {
-    if (kind_ == Kind::plain && would_wait()) return -1;
-    long done = 0;
+long NonBlockingWriter::write_some(std::string_view bytes) {
+    if (kind_ == Kind::poll_first && would_block()) return -1;
+    long written = 0;
     do {
-        done = kind_ == Kind::socket ? ::send(fd_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL)
-                                     : ::write(fd_, bytes.data(), bytes.size());
-    } while (done < 0 && errno == EINTR);
-    return done;
+        written = kind_ == Kind::socket ? ::send(fd_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL)
+                                        : ::write(fd_, bytes.data(), bytes.size());
+    } while (written < 0 && errno == EINTR);
+    return written;
 }
 
-bool Outlet::would_wait() const {
-    pollfd one{.fd = fd_, .events = POLLOUT, .revents = 0};
-    return ::poll(&one, 1, 0) == 0;
+bool NonBlockingWriter::would_block() const {
+    pollfd descriptor{.fd = fd_, .events = POLLOUT, .revents = 0};
+    return ::poll(&descriptor, 1, 0) == 0;
 }
 
 } // namespace willowrill::log
--- a/src/scheduler/log/outlet.h
+++ b/src/scheduler/log/outlet.h
@@ -1,5 +1,5 @@
-// A descriptor that lines are written to without ever waiting for who reads them. What finds no room is
-// dropped whole and counted: a reader that stops must not stop the program that serves.
+// Writes lines to a file descriptor without ever blocking on its reader. A line that cannot be written at
+// once is dropped as a whole and counted, so that a stalled log reader cannot stall the scheduler.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,30 @@
 
 namespace willowrill::log {
 
-class Outlet {
+class NonBlockingWriter {
   public:
-    explicit Outlet(int fd); // stays the caller's
-    ~Outlet();
-    Outlet(const Outlet&) = delete;
-    Outlet& operator=(const Outlet&) = delete;
+    explicit NonBlockingWriter(int fd); // does not take ownership of `fd`
+    ~NonBlockingWriter();
+    NonBlockingWriter(const NonBlockingWriter&) = delete;
+    NonBlockingWriter& operator=(const NonBlockingWriter&) = delete;
 
-    // Whether the line went out, or will: of one that went out in part, the rest goes before the next.
+    // Writes one line and returns false if it was dropped. The remainder of a line that was written in part
+    // is kept and written before the next line.
     bool write(std::string_view line);
-    bool has_room(); // once what is left over has gone
+    // Tries to write what remains of the last line; returns whether nothing remains.
+    bool has_room();
     std::uint64_t dropped() const { return dropped_; }
 
   private:
-    enum class Kind : std::uint8_t { plain, socket, own }; // own: opened anew, so that it does not wait
+    // How blocking is avoided; see the constructor. `reopened`: `fd_` is a second descriptor, owned by this.
+    enum class Kind : std::uint8_t { poll_first, socket, reopened };
 
-    long put(std::string_view bytes); // how many went, negative for an error
-    bool would_wait() const;
+    long write_some(std::string_view bytes); // bytes written, negative for an error
+    bool would_block() const;
 
     int fd_;
-    Kind kind_ = Kind::plain;
-    std::string rest_; // of one line at the most
+    Kind kind_ = Kind::poll_first;
+    std::string pending_; // the remainder of at most one line
     std::uint64_t dropped_ = 0;
 };
 
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -390,7 +390,8 @@
     spdlog::cfg::load_env_levels(); // SPDLOG_LEVEL=debug tells of every attempt, whatever the file says
     const bool json = options.log_format.empty() ? at_site.log.format == operator_config::LogFormat::json
                                                  : options.log_format == "json";
-    if (json) willowrill::log::set_up(true, at_site.instance.empty() ? settings.name : at_site.instance);
+    if (json)
+        willowrill::log::configure_logging(true, at_site.instance.empty() ? settings.name : at_site.instance);
     auto door = willowrill::hot_restart::door_path(std::getenv("TMPDIR"), settings.listen);
     std::optional<willowrill::hot_restart::InheritedListener> inheritance;
     if (door)
@@ -405,7 +406,7 @@
 } // namespace
 
 int main(int count, char** arguments) {
-    willowrill::log::set_up(false, "");
+    willowrill::log::configure_logging(false, "");
     CLI::App app("willowrilld, a job scheduler. What the platform tells it comes from the environment\n"
                  "(PROXY_CONFIG and others, see the README); without arguments it serves with that alone.");
     Options options;
--- a/tests/scheduler/log/log_test.cpp
+++ b/tests/scheduler/log/log_test.cpp
@@ -14,25 +14,25 @@
 
 namespace willowrill::log {
 
-TEST_CASE("what is not UTF-8 cannot break a JSON line") {
-    CHECK(json_text("a\"b\\c\n") == R"("a\"b\\c\u000a")");
-    CHECK(json_text("h\xc3\xa9") == "\"h\xc3\xa9\"");
-    for (const char* bad : {"\xff", "\xc0", "\xed\xa0\x80", "\xf4\x90\x80\x80", "\xe2\x82"})
-        CHECK(json_text(bad).find("\xef\xbf\xbd") != std::string::npos);
+TEST_CASE("invalid UTF-8 does not break a JSON line") {
+    CHECK(json_quote("a\"b\\c\n") == R"("a\"b\\c\u000a")");
+    CHECK(json_quote("h\xc3\xa9") == "\"h\xc3\xa9\"");
+    for (const char* invalid : {"\xff", "\xc0", "\xed\xa0\x80", "\xf4\x90\x80\x80", "\xe2\x82"})
+        CHECK(json_quote(invalid).find("\xef\xbf\xbd") != std::string::npos);
 }
 
-TEST_CASE("an event's line holds its name, its fields and its sentence; a plain line has the event log") {
-    std::ostringstream out;
-    auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out);
-    sink->set_formatter(json_lines("i\"1"));
-    const auto before = spdlog::default_logger();
+TEST_CASE("an event's JSON line holds its name, fields and text; a plain message has the event name log") {
+    std::ostringstream output;
+    auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(output);
+    sink->set_formatter(make_json_formatter("i\"1"));
+    const auto previous_logger = spdlog::default_logger();
     spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", sink));
     CHECK(is_enabled(spdlog::level::info));
     event(spdlog::level::info, "message.over", {{"worker", std::uint64_t{7}}, {"tenant", "a"}}, "it is over");
     event(spdlog::level::debug, "message.over", {}, "not at this level");
     spdlog::info("plain");
-    spdlog::set_default_logger(before);
-    const std::string text = out.str();
+    spdlog::set_default_logger(previous_logger);
+    const std::string text = output.str();
     CHECK(text.find(R"("level":"info","event":"message.over","instance":"i\"1","worker":7,"tenant":"a",)"
                     R"("text":"it is over"})") != std::string::npos);
     CHECK(text.find("not at this level") == std::string::npos);
@@ -45,7 +45,7 @@
     SUBCASE("a socket") {}
     std::array<int, 2> ends{};
     REQUIRE((is_pipe ? ::pipe(ends.data()) : ::socketpair(AF_UNIX, SOCK_STREAM, 0, ends.data())) == 0);
-    Outlet outlet(ends[1]);
+    NonBlockingWriter outlet(ends[1]);
     const std::string line = std::string(299, 'x') + "\n";
     std::size_t taken = 0;
     for (int i = 0; i < 5000; ++i) // far more than there is room for
