--- a/tests/scheduler/atomic_file/store_test.cpp
+++ b/tests/scheduler/atomic_file/store_test.cpp
@@ -22,191 +22,192 @@
 
 Bytes bytes(const std::string& text) { return {text.begin(), text.end()}; }
 
-// A disk in memory that tells what was written from what would survive the loss of power, and dies at a
-// chosen call.
-struct Fake final : FileSystem {
-    struct Death {};
+// An in-memory file system that keeps what was written apart from what survives a power loss, and fails or
+// throws `Crash` at a chosen call.
+struct FakeFileSystem final : FileSystem {
+    struct Crash {};
     struct Content {
-        Bytes now, on_disk;
+        Bytes current, durable;
     };
 
-    bool dies() { return ++calls == die_at; }
-    int fails() { return calls == fail_at ? EIO : 0; }
+    bool crashes_now() { return ++calls == crash_at; }
+    int injected_error() { return calls == fail_at ? EIO : 0; }
 
     int write(const std::string& path, std::span<const unsigned char> data) override {
-        const bool dead = dies();
+        const bool crashed = crashes_now();
         auto& file = names[path];
         if (!file) file = std::make_shared<Content>();
-        // A death in the middle of a write leaves some of it.
-        const std::size_t done = dead ? data.size() / 2 : data.size();
-        file->now.assign(data.begin(), data.begin() + static_cast<std::ptrdiff_t>(done));
-        if (dead) throw Death();
-        return fails();
+        // A crash during a write leaves a part of the content.
+        const std::size_t written = crashed ? data.size() / 2 : data.size();
+        file->current.assign(data.begin(), data.begin() + static_cast<std::ptrdiff_t>(written));
+        if (crashed) throw Crash();
+        return injected_error();
     }
     int sync(const std::string& path) override {
-        if (dies()) throw Death();
-        if (fails()) return EIO;
-        names.at(path)->on_disk = names.at(path)->now;
+        if (crashes_now()) throw Crash();
+        if (injected_error()) return EIO;
+        names.at(path)->durable = names.at(path)->current;
         return 0;
     }
     int rename(const std::string& from, const std::string& to) override {
         std::exchange(before_rename, [] {})();
-        if (dies()) throw Death();
-        if (fails()) return EIO;
+        if (crashes_now()) throw Crash();
+        if (injected_error()) return EIO;
         names[to] = names.at(from);
         names.erase(from);
         return 0;
     }
-    int sync_folder(const std::string&) override {
-        if (dies()) throw Death();
-        if (fails()) return EIO;
-        names_on_disk = names;
+    int sync_directory(const std::string&) override {
+        if (crashes_now()) throw Crash();
+        if (injected_error()) return EIO;
+        durable_names = names;
         return 0;
     }
-    int read(const std::string& path, Bytes& into, std::size_t) override {
+    int read(const std::string& path, Bytes& content, std::size_t) override {
         if (!names.contains(path)) return ENOENT;
-        into = names.at(path)->now;
+        content = names.at(path)->current;
         return 0;
     }
-    // `names_survive`: the system wrote the folder's names by itself before the power went.
+    // `names_survive`: the system has written the directory entries without `sync_directory`.
     void lose_power(bool names_survive) {
-        if (!names_survive) names = names_on_disk;
+        if (!names_survive) names = durable_names;
         for (auto& [name, file] : names)
-            file->now = file->on_disk;
+            file->current = file->durable;
     }
 
     std::function<void()> before_rename = [] {};
-    int calls = 0, die_at = -1, fail_at = -1;
-    std::map<std::string, std::shared_ptr<Content>> names, names_on_disk;
+    int calls = 0, crash_at = -1, fail_at = -1;
+    std::map<std::string, std::shared_ptr<Content>> names, durable_names;
 };
 
-TEST_CASE("what was saved is read, and again after the loss of power") {
-    Fake disk;
-    AtomicFile store("/d", "f", 1, disk);
-    CHECK(store.load().status == LoadStatus::missing);
-    CHECK_FALSE(store.save(bytes("one")));
-    disk.lose_power(false);
-    const auto loaded = store.load();
+TEST_CASE("saved content is loaded, also after a power loss") {
+    FakeFileSystem file_system;
+    AtomicFile file("/d", "f", 1, file_system);
+    CHECK(file.load().status == LoadStatus::missing);
+    CHECK_FALSE(file.save(bytes("one")));
+    file_system.lose_power(false);
+    const auto loaded = file.load();
     CHECK(loaded.status == LoadStatus::intact);
     CHECK(loaded.content == bytes("one"));
 }
 
-TEST_CASE("a death between any two calls, with or without power, leaves the old or the new, whole") {
+TEST_CASE("a crash or power loss at any call leaves the old or the new content intact") {
     for (const bool power_lost : {false, true}) {
         for (const bool names_survive : {false, true}) {
             for (int at = 1; at <= 4; ++at) {
                 CAPTURE(at);
-                Fake disk;
-                AtomicFile store("/d", "f", 1, disk);
-                REQUIRE_FALSE(store.save(bytes("old")));
-                disk.calls = 0;
-                disk.die_at = at;
-                CHECK_THROWS_AS(store.save(bytes("new one")), Fake::Death);
-                disk.die_at = -1;
-                if (power_lost) disk.lose_power(names_survive);
-                const auto loaded = store.load();
+                FakeFileSystem file_system;
+                AtomicFile file("/d", "f", 1, file_system);
+                REQUIRE_FALSE(file.save(bytes("old")));
+                file_system.calls = 0;
+                file_system.crash_at = at;
+                CHECK_THROWS_AS(file.save(bytes("new one")), FakeFileSystem::Crash);
+                file_system.crash_at = -1;
+                if (power_lost) file_system.lose_power(names_survive);
+                const auto loaded = file.load();
                 REQUIRE(loaded.status == LoadStatus::intact);
                 CHECK((loaded.content == bytes("old") || loaded.content == bytes("new one")));
-                CHECK_FALSE(store.save(bytes("next"))); // what the dead one left is in nobody's way
-                CHECK(store.load().content == bytes("next"));
+                CHECK_FALSE(file.save(bytes("next"))); // leftovers of the crash do not interfere
+                CHECK(file.load().content == bytes("next"));
             }
         }
     }
 }
 
-TEST_CASE("a call that fails is told in a sentence, and the old stays") {
+TEST_CASE("a failed call is reported with its path, and the old content stays") {
     for (int at = 1; at <= 3; ++at) {
-        Fake disk;
-        AtomicFile store("/d", "f", 1, disk);
-        REQUIRE_FALSE(store.save(bytes("old")));
-        disk.calls = 0;
-        disk.fail_at = at;
-        const auto failed = store.save(bytes("new"));
+        FakeFileSystem file_system;
+        AtomicFile file("/d", "f", 1, file_system);
+        REQUIRE_FALSE(file.save(bytes("old")));
+        file_system.calls = 0;
+        file_system.fail_at = at;
+        const auto failed = file.save(bytes("new"));
         REQUIRE(failed);
         CHECK(failed->find("/d") != std::string::npos);
-        CHECK(store.load().content == bytes("old"));
+        CHECK(file.load().content == bytes("old"));
     }
 }
 
-// Two runs at an upgrade have one folder and one instance's name. They wrote to one temporary name, and the
-// death of one while the other renamed took the old content with it.
-TEST_CASE("two processes that write one file leave it whole") {
-    Fake disk;
-    AtomicFile one("/d", "f", 1, disk), two("/d", "f", 1, disk);
-    REQUIRE_FALSE(one.save(bytes("old")));
-    disk.before_rename = [&] {
-        disk.calls = 0;
-        disk.die_at = 1;
-        CHECK_THROWS_AS(two.save(bytes("of the other")), Fake::Death);
-        disk.die_at = -1;
+// During an upgrade two processes of one instance write the same file. With a shared temporary name, one
+// process renames the file that the other has just truncated, and a crash of the other destroys the old
+// content too.
+TEST_CASE("two processes that save the same file leave it intact") {
+    FakeFileSystem file_system;
+    AtomicFile first("/d", "f", 1, file_system), second("/d", "f", 1, file_system);
+    REQUIRE_FALSE(first.save(bytes("old")));
+    file_system.before_rename = [&] {
+        file_system.calls = 0;
+        file_system.crash_at = 1;
+        CHECK_THROWS_AS(second.save(bytes("of the other")), FakeFileSystem::Crash);
+        file_system.crash_at = -1;
     };
-    one.save(bytes("new"));
-    CHECK(one.load().status == LoadStatus::intact);
+    first.save(bytes("new"));
+    CHECK(first.load().status == LoadStatus::intact);
 }
 
 TEST_CASE(
-    "two real processes, one of them killed while it writes, leave a file whole and nothing beside it") {
-    const lab::Folder own;
-    const std::string& folder = own.path;
-    FileSystem disk;
+    "two real processes, one of them killed while it saves, leave an intact file and no temporary files") {
+    const lab::Folder folder_guard;
+    const std::string& folder = folder_guard.path;
+    FileSystem file_system;
     const Bytes large(1U << 20U, 'x');
-    REQUIRE_FALSE(AtomicFile(folder, "f", 1, disk).save(large));
+    REQUIRE_FALSE(AtomicFile(folder, "f", 1, file_system).save(large));
     for (int round = 0; round < 10; ++round) {
         std::array<int, 2> ready{};
         REQUIRE(::pipe(ready.data()) == 0);
         const pid_t child = ::fork();
         if (child == 0) { // writes until it is killed
-            FileSystem its_own;
-            AtomicFile store(folder, "f", 1, its_own);
-            store.save(large);
+            FileSystem child_file_system;
+            AtomicFile file(folder, "f", 1, child_file_system);
+            file.save(large);
             if (::write(ready[1], "r", 1) != 1) ::_exit(1);
             for (;;)
-                store.save(large);
+                file.save(large);
         }
-        char word = 0;
-        CHECK(::read(ready[0], &word, 1) == 1);
-        AtomicFile here(folder, "f", 1, disk);
+        char ready_byte = 0;
+        CHECK(::read(ready[0], &ready_byte, 1) == 1);
+        AtomicFile parent_file(folder, "f", 1, file_system);
         for (int i = 0; i < 3 + round; ++i)
-            CHECK_FALSE(here.save(large));
+            CHECK_FALSE(parent_file.save(large));
         ::kill(child, SIGKILL);
         ::waitpid(child, nullptr, 0);
         ::close(ready[0]);
         ::close(ready[1]);
-        const auto loaded = here.load();
+        const auto loaded = parent_file.load();
         CHECK(loaded.status == LoadStatus::intact);
         CHECK(loaded.content == large);
     }
-    CHECK(std::distance(std::filesystem::directory_iterator(folder), {}) == 1); // the file alone
+    CHECK(std::distance(std::filesystem::directory_iterator(folder), {}) == 1); // no temporary files
 }
 
-TEST_CASE("torn, foreign and newer files are told apart, put aside and named") {
-    const Bytes good = pack(bytes("content"), 1);
-    const auto found = [](const Bytes& file) {
+TEST_CASE("corrupt, unrecognized and newer files are distinguished, renamed and named in the message") {
+    const Bytes intact = pack(bytes("content"), 1);
+    const auto status_of = [](const Bytes& packed) {
         std::span<const unsigned char> content;
-        return unpack(file, 1, content);
+        return unpack(packed, 1, content);
     };
-    CHECK(found(good) == LoadStatus::intact);
-    for (std::size_t size = 1; size < good.size(); ++size)
-        CHECK(found(Bytes(good.begin(), good.begin() + static_cast<std::ptrdiff_t>(size))) ==
+    CHECK(status_of(intact) == LoadStatus::intact);
+    for (std::size_t size = 1; size < intact.size(); ++size)
+        CHECK(status_of(Bytes(intact.begin(), intact.begin() + static_cast<std::ptrdiff_t>(size))) ==
               LoadStatus::corrupt);
-    for (std::size_t at = 8; at < good.size(); ++at) {
-        Bytes flipped = good;
+    for (std::size_t at = 8; at < intact.size(); ++at) {
+        Bytes flipped = intact;
         flipped[at] ^= 1U;
-        const LoadStatus what = found(flipped);
-        CHECK((what == LoadStatus::corrupt || what == LoadStatus::newer_format));
+        const LoadStatus status = status_of(flipped);
+        CHECK((status == LoadStatus::corrupt || status == LoadStatus::newer_format));
     }
-    CHECK(found({}) == LoadStatus::unrecognized);
-    CHECK(found(bytes("{\"json\": true, \"long enough for a head\": 1}")) == LoadStatus::unrecognized);
-    CHECK(found(pack(bytes("x"), 2)) == LoadStatus::newer_format);
-
-    Fake disk;
-    AtomicFile store("/d", "f", 1, disk);
-    disk.write("/d/f", bytes("something else"));
-    const auto loaded = store.load();
+    CHECK(status_of({}) == LoadStatus::unrecognized);
+    CHECK(status_of(bytes("{\"json\": true, \"long enough for a head\": 1}")) == LoadStatus::unrecognized);
+    CHECK(status_of(pack(bytes("x"), 2)) == LoadStatus::newer_format);
+
+    FakeFileSystem file_system;
+    AtomicFile file("/d", "f", 1, file_system);
+    file_system.write("/d/f", bytes("something else"));
+    const auto loaded = file.load();
     CHECK(loaded.status == LoadStatus::unrecognized);
     CHECK(loaded.message.find("foreign") != std::string::npos);
-    CHECK(disk.names.contains("/d/f.aside")); // nothing is destroyed
-    CHECK(store.load().status == LoadStatus::missing);
+    CHECK(file_system.names.contains("/d/f.aside")); // kept for inspection
+    CHECK(file.load().status == LoadStatus::missing);
 }
 
 } // namespace
