--- a/src/scheduler/hot_restart/succession.cpp
+++ b/src/scheduler/hot_restart/succession.cpp
@@ -20,42 +20,44 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto tell_pause = 100ms; // between two words on what is held
+constexpr auto descriptor_report_interval = 100ms; // to a successor
 
-sockaddr_un address_of(const std::string& path) {
-    sockaddr_un out{};
-    out.sun_family = AF_UNIX;
-    path.copy(out.sun_path, sizeof out.sun_path - 1);
-    return out;
+sockaddr_un socket_address(const std::string& path) {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    path.copy(address.sun_path, sizeof address.sun_path - 1);
+    return address;
 }
 
 net::Fd unix_socket() { return net::Fd(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)); }
 
-// Another user's process must neither get the listener nor give us one.
-bool is_ours(const net::Fd& fd) {
+// The listener is neither handed to nor accepted from a process of another user.
+bool is_same_user(const net::Fd& fd) {
     ucred peer{};
     socklen_t size = sizeof peer;
     return ::getsockopt(fd.get(), SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == ::geteuid();
 }
 
-bool listens_at(const net::Fd& fd, const net::Endpoint& endpoint) {
-    int listens = 0;
-    socklen_t size = sizeof listens;
-    return ::getsockopt(fd.get(), SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) == 0 && listens != 0 &&
-           net::local_address(fd) == endpoint;
+bool is_listening_at(const net::Fd& fd, const net::Endpoint& endpoint) {
+    int is_listening = 0;
+    socklen_t size = sizeof is_listening;
+    return ::getsockopt(fd.get(), SOL_SOCKET, SO_ACCEPTCONN, &is_listening, &size) == 0 &&
+           is_listening != 0 && net::local_address(fd) == endpoint;
 }
 
-enum class Kind : std::uint32_t { held, serves, opened, closed };
-struct Word {
-    std::uint64_t value = 0; // descriptors, or the hash of an id
+// The handover protocol: each packet holds records in the host's byte order; both processes run on one host.
+enum class Kind : std::uint32_t { descriptor_count, serving, message_opened, message_closed };
+struct Record {
+    std::uint64_t value = 0; // a number of descriptors, or the hash of a message id
     Kind kind{};
     std::uint32_t unused = 0;
 };
-constexpr std::size_t most_words = 256; // in a packet
+constexpr std::size_t max_records_per_packet = 256;
 
-// A packet, with a descriptor beside it or none. Nobody waits for a run that does not read.
-bool send_words(const net::Fd& to, std::span<const Word> words, int descriptor = -1) {
-    iovec bytes{.iov_base = const_cast<Word*>(words.data()), .iov_len = words.size_bytes()};
+// Sends the records in one packet, with a file descriptor if `descriptor` is not negative. Never blocks:
+// returns false if the packet could not be sent, for instance because the peer does not read.
+bool send_records(const net::Fd& to, std::span<const Record> records, int descriptor = -1) {
+    iovec bytes{.iov_base = const_cast<Record*>(records.data()), .iov_len = records.size_bytes()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof descriptor)]{};
     msghdr message{};
     message.msg_iov = &bytes;
@@ -63,244 +65,257 @@
     if (descriptor >= 0) {
         message.msg_control = control;
         message.msg_controllen = sizeof control;
-        cmsghdr* head = CMSG_FIRSTHDR(&message);
-        head->cmsg_level = SOL_SOCKET;
-        head->cmsg_type = SCM_RIGHTS;
-        head->cmsg_len = CMSG_LEN(sizeof descriptor);
-        std::memcpy(CMSG_DATA(head), &descriptor, sizeof descriptor);
+        cmsghdr* header = CMSG_FIRSTHDR(&message);
+        header->cmsg_level = SOL_SOCKET;
+        header->cmsg_type = SCM_RIGHTS;
+        header->cmsg_len = CMSG_LEN(sizeof descriptor);
+        std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
     }
-    return ::sendmsg(to.get(), &message, MSG_NOSIGNAL) == static_cast<ssize_t>(words.size_bytes());
+    return ::sendmsg(to.get(), &message, MSG_NOSIGNAL) == static_cast<ssize_t>(records.size_bytes());
 }
 
-// Nothing: there is none, the other side is gone, or what came is none of ours.
-std::vector<Word> receive_words(const net::Fd& from, net::Fd& descriptor, bool& gone) {
-    std::vector<Word> words(most_words);
-    iovec bytes{.iov_base = words.data(), .iov_len = words.size() * sizeof(Word)};
-    int got = -1;
-    alignas(cmsghdr) char control[CMSG_SPACE(sizeof got)]{};
+// Receives one packet and stores the file descriptor that comes with it, if any. Returns no records if no
+// packet is available, the peer has closed the connection (`disconnected` is set), or the packet is too
+// short.
+std::vector<Record> receive_records(const net::Fd& from, net::Fd& descriptor, bool& disconnected) {
+    std::vector<Record> records(max_records_per_packet);
+    iovec bytes{.iov_base = records.data(), .iov_len = records.size() * sizeof(Record)};
+    int received_descriptor = -1;
+    alignas(cmsghdr) char control[CMSG_SPACE(sizeof received_descriptor)]{};
     msghdr message{};
     message.msg_iov = &bytes;
     message.msg_iovlen = 1;
     message.msg_control = control;
     message.msg_controllen = sizeof control;
     const auto size = ::recvmsg(from.get(), &message, MSG_CMSG_CLOEXEC);
-    gone = size == 0 || (size < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
-    const cmsghdr* head = size > 0 ? CMSG_FIRSTHDR(&message) : nullptr;
-    if (head != nullptr && head->cmsg_type == SCM_RIGHTS && head->cmsg_len == CMSG_LEN(sizeof got)) {
-        std::memcpy(&got, CMSG_DATA(head), sizeof got);
-        descriptor = net::Fd(got);
+    disconnected = size == 0 || (size < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+    const cmsghdr* header = size > 0 ? CMSG_FIRSTHDR(&message) : nullptr;
+    if (header != nullptr && header->cmsg_type == SCM_RIGHTS &&
+        header->cmsg_len == CMSG_LEN(sizeof received_descriptor)) {
+        std::memcpy(&received_descriptor, CMSG_DATA(header), sizeof received_descriptor);
+        descriptor = net::Fd(received_descriptor);
     }
-    words.resize(size > 0 ? static_cast<std::size_t>(size) / sizeof(Word) : 0);
-    return words;
+    records.resize(size > 0 ? static_cast<std::size_t>(size) / sizeof(Record) : 0);
+    return records;
 }
 
 } // namespace
 
-std::optional<std::string> door_path(const char* folder, const net::Endpoint& listen) {
-    if (folder == nullptr || *folder == '\0') return std::nullopt;
-    std::string path = std::string(folder) + "/willowrill-" + listen.text();
-    // While it is made, the socket has a longer name.
+std::optional<std::string> handover_socket_path(const char* directory, const net::Endpoint& listen) {
+    if (directory == nullptr || *directory == '\0') return std::nullopt;
+    std::string path = std::string(directory) + "/willowrill-" + listen.text();
+    // The socket is created under this path with the suffix ".new".
     if (path.size() + 4 >= sizeof(sockaddr_un::sun_path)) {
-        spdlog::warn("upgrade: the path of TMPDIR is too long for a socket; no listener is handed over");
+        spdlog::warn("upgrade: the path of TMPDIR is too long for a Unix socket; hot restart is disabled");
         return std::nullopt;
     }
     return path;
 }
 
-std::optional<InheritedListener> inherit(const std::string& path, const net::Endpoint& listen,
-                                         net::Duration at_most) {
-    InheritedListener out;
-    out.link = unix_socket();
-    const sockaddr_un address = address_of(path);
-    // Refused by a stale file, which the door of this run will replace.
-    if (!out.link.valid() ||
-        ::connect(out.link.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
-        !is_ours(out.link))
+std::optional<InheritedListener> request_listener(const std::string& path, const net::Endpoint& listen,
+                                                  net::Duration timeout) {
+    InheritedListener inherited;
+    inherited.connection = unix_socket();
+    const sockaddr_un address = socket_address(path);
+    // A stale socket file refuses the connection; `open_listening_channel` replaces it later.
+    if (!inherited.connection.valid() ||
+        ::connect(inherited.connection.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) !=
+            0 ||
+        !is_same_user(inherited.connection))
         return std::nullopt;
-    pollfd answer{.fd = out.link.get(), .events = POLLIN, .revents = 0};
-    const auto wait = std::chrono::ceil<std::chrono::milliseconds>(at_most);
-    bool gone = false;
-    std::vector<Word> words;
-    if (::poll(&answer, 1, static_cast<int>(wait.count())) == 1)
-        words = receive_words(out.link, out.listener, gone);
-    if (words.empty() || !listens_at(out.listener, listen)) {
-        spdlog::warn("upgrade: the run that holds the address does not hand it over");
+    pollfd readable{.fd = inherited.connection.get(), .events = POLLIN, .revents = 0};
+    const auto timeout_ms = std::chrono::ceil<std::chrono::milliseconds>(timeout);
+    bool disconnected = false;
+    std::vector<Record> records;
+    if (::poll(&readable, 1, static_cast<int>(timeout_ms.count())) == 1)
+        records = receive_records(inherited.connection, inherited.listener, disconnected);
+    if (records.empty() || !is_listening_at(inherited.listener, listen)) {
+        spdlog::warn("upgrade: the process that listens on this address did not hand over its listener");
         return std::nullopt;
     }
-    out.held = words.front().value;
-    return out;
+    inherited.reserved_descriptors = records.front().value;
+    return inherited;
 }
 
-Succession::Succession(net::Loop& loop, std::optional<std::string> path,
-                       std::optional<InheritedListener> inheritance, Run& run)
-    : loop_(loop), path_(std::move(path)), run_(run), tell_(loop.timer_wheel(), [this] { tell_held(); }) {
-    door_.action = [this] { on_knock(); };
-    before_.action = [this] { on_news_from_predecessor(); };
-    after_.action = [this] { on_news_from_successor(); };
-    before_.room = [this] { tell_late(before_); };
-    after_.room = [this] { tell_late(after_); };
-    if (!inheritance) return;
-    before_.fd = std::move(inheritance->link);
-    neighbour_holds_ = inheritance->held;
-    watch(before_);
+HotRestart::HotRestart(net::Loop& loop, std::optional<std::string> path,
+                       std::optional<InheritedListener> inherited, Delegate& delegate)
+    : loop_(loop), path_(std::move(path)), delegate_(delegate),
+      report_timer_(loop.timer_wheel(), [this] { report_descriptors(); }) {
+    listening_channel_.on_readable = [this] { on_connect(); };
+    predecessor_.on_readable = [this] { on_predecessor_readable(); };
+    successor_.on_readable = [this] { on_successor_readable(); };
+    predecessor_.on_writable = [this] { send_pending(predecessor_); };
+    successor_.on_writable = [this] { send_pending(successor_); };
+    if (!inherited) return;
+    predecessor_.fd = std::move(inherited->connection);
+    predecessor_descriptors_ = inherited->reserved_descriptors;
+    watch(predecessor_);
 }
 
-Succession::~Succession() {
-    close_door();
-    close(before_);
-    close(after_);
+HotRestart::~HotRestart() {
+    close_listening_channel();
+    close(predecessor_);
+    close(successor_);
 }
 
-void Succession::watch(End& end) { loop_.watch(end.fd.get(), POLLIN, end); }
+void HotRestart::watch(Channel& channel) { loop_.watch(channel.fd.get(), POLLIN, channel); }
 
-void Succession::close(End& end) {
-    if (!end.fd.valid()) return;
-    loop_.unwatch(end.fd.get());
-    end.fd.reset();
-    end.ids.clear();
-    end.late.clear();
-    end.late_serves = false;
+void HotRestart::close(Channel& channel) {
+    if (!channel.fd.valid()) return;
+    loop_.unwatch(channel.fd.get());
+    channel.fd.reset();
+    channel.message_ids.clear();
+    channel.pending.clear();
+    channel.pending_serving = false;
 }
 
-void Succession::serve() {
-    before_.late_serves = before_.fd.valid();
-    tell_late(before_);
-    open_door();
+void HotRestart::start_serving() {
+    predecessor_.pending_serving = predecessor_.fd.valid();
+    send_pending(predecessor_);
+    open_listening_channel();
 }
 
-// Made under another name first: a successor that looks in meanwhile finds the old door or this one, and a
-// stale file is replaced.
-void Succession::open_door() {
+// Creates the socket under a temporary name and renames it, so that a successor that connects meanwhile finds
+// the old socket or the new one, and a stale file is replaced.
+void HotRestart::open_listening_channel() {
     if (!path_) return;
-    close(door_);
-    const std::string made = *path_ + ".new";
-    const sockaddr_un address = address_of(made);
-    ::unlink(made.c_str());
+    close(listening_channel_);
+    const std::string temporary_path = *path_ + ".new";
+    const sockaddr_un address = socket_address(temporary_path);
+    ::unlink(temporary_path.c_str());
     net::Fd fd = unix_socket();
-    const mode_t before = ::umask(0177);
+    const mode_t previous_umask = ::umask(0177);
     const bool bound =
         fd.valid() && ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
-    ::umask(before);
-    struct stat made_file {};
-    if (!bound || ::listen(fd.get(), 4) != 0 || ::stat(made.c_str(), &made_file) != 0 ||
-        std::rename(made.c_str(), path_->c_str()) != 0) {
-        spdlog::warn("upgrade: no door for a successor: errno {}", errno);
+    ::umask(previous_umask);
+    struct stat socket_status {};
+    if (!bound || ::listen(fd.get(), 4) != 0 || ::stat(temporary_path.c_str(), &socket_status) != 0 ||
+        std::rename(temporary_path.c_str(), path_->c_str()) != 0) {
+        spdlog::warn("upgrade: cannot open the handover socket for a successor: errno {}", errno);
         return;
     }
-    door_inode_ = made_file.st_ino;
-    door_.fd = std::move(fd);
-    watch(door_);
+    socket_inode_ = socket_status.st_ino;
+    listening_channel_.fd = std::move(fd);
+    watch(listening_channel_);
 }
 
-// The file may be a successor's by now.
-void Succession::close_door() {
-    struct stat file {};
-    if (door_.fd.valid() && ::stat(path_->c_str(), &file) == 0 && file.st_ino == door_inode_)
+// Removes the socket file unless a successor has replaced it by its own.
+void HotRestart::close_listening_channel() {
+    struct stat socket_status {};
+    if (listening_channel_.fd.valid() && ::stat(path_->c_str(), &socket_status) == 0 &&
+        socket_status.st_ino == socket_inode_)
         ::unlink(path_->c_str());
-    close(door_);
+    close(listening_channel_);
 }
 
-void Succession::on_knock() {
-    net::Fd fd(::accept4(door_.fd.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (!fd.valid() || !is_ours(fd) || !run_.listener().valid()) return;
-    if (after_.fd.valid()) { // the last one that asks is the successor
-        close(after_);
-        if (std::exchange(after_serves_, false)) run_.on_successor(false);
+void HotRestart::on_connect() {
+    net::Fd fd(::accept4(listening_channel_.fd.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (!fd.valid() || !is_same_user(fd) || !delegate_.listener().valid()) return;
+    if (successor_.fd.valid()) { // the latest process that connects replaces an earlier one
+        close(successor_);
+        if (std::exchange(successor_serves_, false)) delegate_.on_successor_changed(false);
     }
-    after_.fd = std::move(fd);
-    watch(after_);
-    run_.on_neighbour(); // gives up what it can first
-    reported_ = run_.held();
-    spdlog::info("upgrade: handing the listener to a successor, keeping {} descriptors", reported_);
-    const Word held{.value = reported_, .kind = Kind::held};
-    if (!send_words(after_.fd, {&held, 1}, run_.listener().get()))
-        spdlog::warn("upgrade: the listener could not be handed over: errno {}", errno);
-    for (const std::string& id : run_.ids())
-        after_.late[willowrill::key_of(id)] = true;
-    tell_late(after_);
-    tell_.arm(loop_.now() + tell_pause);
+    successor_.fd = std::move(fd);
+    watch(successor_);
+    delegate_.on_peer_changed(); // first reduces its limits, so that fewer descriptors are reported
+    reported_descriptors_ = delegate_.required_descriptors();
+    spdlog::info("upgrade: handing over the listener to a successor, keeping {} descriptors",
+                 reported_descriptors_);
+    const Record record{.value = reported_descriptors_, .kind = Kind::descriptor_count};
+    if (!send_records(successor_.fd, {&record, 1}, delegate_.listener().get()))
+        spdlog::warn("upgrade: cannot hand over the listener: errno {}", errno);
+    for (const std::string& id : delegate_.message_ids())
+        successor_.pending[willowrill::key_of(id)] = true;
+    send_pending(successor_);
+    report_timer_.arm(loop_.now() + descriptor_report_interval);
 }
 
-void Succession::tell(const std::string& id, bool open) {
-    for (End* end : {&before_, &after_}) {
-        if (!end->fd.valid()) continue;
-        end->late[willowrill::key_of(id)] = open;
-        tell_late(*end);
+void HotRestart::notify_peers(const std::string& id, bool open) {
+    for (Channel* channel : {&predecessor_, &successor_}) {
+        if (!channel->fd.valid()) continue;
+        channel->pending[willowrill::key_of(id)] = open;
+        send_pending(*channel);
     }
 }
 
-// As much as there is room for; the rest when there is more. A run that does not read for a while must not
-// miss a message, or both could hold it.
-void Succession::tell_late(End& end) {
-    if (!end.fd.valid()) return;
-    const Word serves{.kind = Kind::serves};
-    if (end.late_serves) end.late_serves = !send_words(end.fd, {&serves, 1});
-    while (!end.late.empty()) {
-        std::vector<Word> words;
-        for (auto at = end.late.begin(); at != end.late.end() && words.size() < most_words; ++at)
-            words.push_back({.value = at->first, .kind = at->second ? Kind::opened : Kind::closed});
-        if (!send_words(end.fd, words)) break;
-        for (const Word& word : words)
-            end.late.erase(word.value);
+// Sends as many pending records as the socket takes and the others once it is writable again. A peer that
+// stalls must not miss a record: both processes could then accept the same message.
+void HotRestart::send_pending(Channel& channel) {
+    if (!channel.fd.valid()) return;
+    const Record record{.kind = Kind::serving};
+    if (channel.pending_serving) channel.pending_serving = !send_records(channel.fd, {&record, 1});
+    while (!channel.pending.empty()) {
+        std::vector<Record> records;
+        for (auto at = channel.pending.begin();
+             at != channel.pending.end() && records.size() < max_records_per_packet; ++at)
+            records.push_back(
+                {.value = at->first, .kind = at->second ? Kind::message_opened : Kind::message_closed});
+        if (!send_records(channel.fd, records)) break;
+        for (const Record& sent : records)
+            channel.pending.erase(sent.value);
     }
-    const bool more = end.late_serves || !end.late.empty();
-    loop_.watch(end.fd.get(), static_cast<short>(more ? POLLIN | POLLOUT : POLLIN), end);
+    const bool has_pending = channel.pending_serving || !channel.pending.empty();
+    loop_.watch(channel.fd.get(), static_cast<short>(has_pending ? POLLIN | POLLOUT : POLLIN), channel);
 }
 
-bool Succession::holds(const std::string& id) const {
-    return shared() &&
-           (before_.ids.contains(willowrill::key_of(id)) || after_.ids.contains(willowrill::key_of(id)));
+bool HotRestart::holds(const std::string& id) const {
+    return has_peer() && (predecessor_.message_ids.contains(willowrill::key_of(id)) ||
+                          successor_.message_ids.contains(willowrill::key_of(id)));
 }
 
-void Succession::tell_held() {
-    if (!after_.fd.valid()) return;
-    run_.on_neighbour();
-    const std::size_t held = run_.held();
-    const Word word{.value = held, .kind = Kind::held};
-    if (held != reported_ && send_words(after_.fd, {&word, 1})) reported_ = held;
-    tell_.arm(loop_.now() + tell_pause);
+void HotRestart::report_descriptors() {
+    if (!successor_.fd.valid()) return;
+    delegate_.on_peer_changed();
+    const std::size_t required = delegate_.required_descriptors();
+    const Record record{.value = required, .kind = Kind::descriptor_count};
+    if (required != reported_descriptors_ && send_records(successor_.fd, {&record, 1}))
+        reported_descriptors_ = required;
+    report_timer_.arm(loop_.now() + descriptor_report_interval);
 }
 
-// What both sides tell of their messages is taken in here; the rest is left to the caller.
-std::optional<std::uint64_t> Succession::read(End& end, std::uint32_t wanted, bool& gone) {
-    net::Fd none;
+// Applies the records about messages, and returns the value of the last record of kind `wanted_kind`, if any.
+std::optional<std::uint64_t> HotRestart::receive(Channel& channel, std::uint32_t wanted_kind,
+                                                 bool& disconnected) {
+    net::Fd unexpected_descriptor;
     std::optional<std::uint64_t> found;
-    for (const auto& [value, kind, unused] : receive_words(end.fd, none, gone)) {
-        if (kind == Kind::opened) end.ids.insert(value);
-        if (kind == Kind::closed) end.ids.erase(value);
-        if (static_cast<std::uint32_t>(kind) == wanted) found = value;
+    for (const auto& [value, kind, unused] :
+         receive_records(channel.fd, unexpected_descriptor, disconnected)) {
+        if (kind == Kind::message_opened) channel.message_ids.insert(value);
+        if (kind == Kind::message_closed) channel.message_ids.erase(value);
+        if (static_cast<std::uint32_t>(kind) == wanted_kind) found = value;
     }
     return found;
 }
 
-void Succession::on_news_from_predecessor() {
-    bool gone = false;
-    if (const auto held = read(before_, static_cast<std::uint32_t>(Kind::held), gone)) {
-        neighbour_holds_ = *held;
-    } else if (gone) {
-        spdlog::info("upgrade: the predecessor is gone");
-        close(before_);
-        neighbour_holds_ = 0;
+void HotRestart::on_predecessor_readable() {
+    bool disconnected = false;
+    if (const auto count =
+            receive(predecessor_, static_cast<std::uint32_t>(Kind::descriptor_count), disconnected)) {
+        predecessor_descriptors_ = *count;
+    } else if (disconnected) {
+        spdlog::info("upgrade: the predecessor has disconnected");
+        close(predecessor_);
+        predecessor_descriptors_ = 0;
     } else {
         return;
     }
-    run_.on_neighbour();
+    delegate_.on_peer_changed();
 }
 
-void Succession::on_news_from_successor() {
-    bool gone = false;
-    if (read(after_, static_cast<std::uint32_t>(Kind::serves), gone)) {
-        spdlog::info("upgrade: the successor serves");
-        after_serves_ = true;
-        return run_.on_successor(true);
+void HotRestart::on_successor_readable() {
+    bool disconnected = false;
+    if (receive(successor_, static_cast<std::uint32_t>(Kind::serving), disconnected)) {
+        spdlog::info("upgrade: the successor accepts connections");
+        successor_serves_ = true;
+        return delegate_.on_successor_changed(true);
     }
-    if (!gone) return;
-    spdlog::warn("upgrade: the successor is gone");
-    close(after_);
-    after_serves_ = false;
-    run_.on_neighbour();
-    run_.on_successor(false);
-    open_door(); // the file was the successor's
+    if (!disconnected) return;
+    spdlog::warn("upgrade: the successor has disconnected");
+    close(successor_);
+    successor_serves_ = false;
+    delegate_.on_peer_changed();
+    delegate_.on_successor_changed(false);
+    open_listening_channel(); // the successor's socket has replaced this one's file
 }
 
 } // namespace willowrill::hot_restart
--- a/src/scheduler/hot_restart/succession.h
+++ b/src/scheduler/hot_restart/succession.h
@@ -1,5 +1,5 @@
-// Two runs of one scheduler at an upgrade. The new run takes the listener over from the old one, so that no
-// connection that waits there is lost, and both stay within the limits of one.
+// Hot restart: during an upgrade the new process of a scheduler inherits the listening socket from the old
+// one, so that no queued connection is lost, and both together stay within the limits of one process.
 #pragma once
 
 #include "scheduler/core/host.h"
@@ -15,81 +15,90 @@
 
 namespace willowrill::hot_restart {
 
-// Where a run of the scheduler at this address waits for its successor. None without a folder, or where the
-// path would be too long for a socket.
-std::optional<std::string> door_path(const char* folder, const net::Endpoint& listen);
+// The Unix socket at which the scheduler that listens on `listen` waits for its successor. None if
+// `directory` is null or empty, or if the path would be too long for a socket.
+std::optional<std::string> handover_socket_path(const char* directory, const net::Endpoint& listen);
 
-// What a predecessor hands over.
+// What a predecessor hands over: the listener, and the connection that both processes keep open.
 struct InheritedListener {
-    net::Fd listener, link;
-    std::size_t held = 0; // descriptors that it keeps for itself
+    net::Fd listener, connection;
+    std::size_t reserved_descriptors = 0; // that the predecessor keeps for itself
 };
 
-// Asks the run that waits there. One that has died or does not answer within `at_most` hands over nothing.
-std::optional<InheritedListener> inherit(const std::string& path, const net::Endpoint& listen,
-                                         net::Duration at_most);
+// Asks the process that listens at `path` for its listener. Returns nothing if there is no such process, or
+// if it does not answer within `timeout` or listens on another address. Blocks the calling thread.
+std::optional<InheritedListener> request_listener(const std::string& path, const net::Endpoint& listen,
+                                                  net::Duration timeout);
 
-class Succession final : public core::PeerProcess {
+// Connects this process with its predecessor and its successor. It reports to both which messages are open
+// here, so that no message is accepted twice.
+class HotRestart final : public core::PeerProcess {
   public:
-    // The run that this is part of.
-    class Run {
+    // The process that takes part in the hot restart.
+    class Delegate {
       public:
-        virtual ~Run() = default;
+        virtual ~Delegate() = default;
         virtual const net::Fd& listener() const = 0;
-        virtual std::size_t held() const = 0; // descriptors that it needs at most while another run lives
-        virtual const std::unordered_set<std::string>& ids() const = 0; // of messages
-        virtual void on_neighbour() = 0;            // another run came or went, or holds less
-        virtual void on_successor(bool serves) = 0; // it accepts from now on, or is gone
+        // The most descriptors that this process needs while another one is running.
+        virtual std::size_t required_descriptors() const = 0;
+        virtual const std::unordered_set<std::string>& message_ids() const = 0; // of open messages
+        // Another process connected or disconnected, or reports another number of descriptors. Also called
+        // before this process reports its own.
+        virtual void on_peer_changed() = 0;
+        // The successor accepts connections from now on, or has disconnected.
+        virtual void on_successor_changed(bool serves) = 0;
     };
 
-    Succession(net::Loop& loop, std::optional<std::string> path, std::optional<InheritedListener> inheritance,
-               Run& run);
-    ~Succession() override;
+    HotRestart(net::Loop& loop, std::optional<std::string> path, std::optional<InheritedListener> inherited,
+               Delegate& delegate);
+    ~HotRestart() override;
 
-    void serve(); // tells the predecessor, and waits for a successor
-    bool shared() const { return before_.fd.valid() || after_.fd.valid(); } // another run lives
-    bool succeeded() const { return after_serves_; }
-    std::size_t neighbour_holds() const { return neighbour_holds_; } // that of a predecessor
+    // Tells the predecessor that this process accepts connections, and listens for a successor.
+    void start_serving();
+    bool has_peer() const { return predecessor_.fd.valid() || successor_.fd.valid(); }
+    bool successor_serves() const { return successor_serves_; }
+    std::size_t predecessor_descriptors() const { return predecessor_descriptors_; } // 0 without one
 
-    void on_message_opened(const std::string& id) override { tell(id, true); }
-    void on_message_closed(const std::string& id) override { tell(id, false); }
+    void on_message_opened(const std::string& id) override { notify_peers(id, true); }
+    void on_message_closed(const std::string& id) override { notify_peers(id, false); }
     bool holds(const std::string& id) const override;
 
   private:
-    struct End final : net::Pollable {
+    struct Channel final : net::Pollable {
         void on_ready(short events) override {
-            if ((events & POLLOUT) != 0) room();
-            if ((events & ~POLLOUT) != 0) action();
+            if ((events & POLLOUT) != 0) on_writable();
+            if ((events & ~POLLOUT) != 0) on_readable();
         }
         net::Fd fd{};
-        std::function<void()> action{}, room{};
-        std::unordered_set<std::uint64_t> ids{}; // of messages there, as hashes
-        // Words it had no room for: of each message the last (at most as many as were open at once while it
-        // did not read, and as they ended), and that this run serves.
-        std::unordered_map<std::uint64_t, bool> late{};
-        bool late_serves = false;
+        std::function<void()> on_readable{}, on_writable{};
+        std::unordered_set<std::uint64_t> message_ids{}; // open in the peer, as hashes
+        // Records that the socket could not take: for each message the last one (true: opened), and whether
+        // the notice that this process serves is still to be sent. There is at most one record for each
+        // message that was open, or was closed, while the peer did not read.
+        std::unordered_map<std::uint64_t, bool> pending{};
+        bool pending_serving = false;
     };
 
-    void open_door();
-    void close_door();
-    void watch(End& end);
-    void close(End& end);
-    void on_knock();
-    void on_news_from_predecessor();
-    void on_news_from_successor();
-    std::optional<std::uint64_t> read(End& end, std::uint32_t wanted, bool& gone);
-    void tell_held();
-    void tell(const std::string& id, bool open);
-    void tell_late(End& end);
+    void open_listening_channel();
+    void close_listening_channel();
+    void watch(Channel& channel);
+    void close(Channel& channel);
+    void on_connect();
+    void on_predecessor_readable();
+    void on_successor_readable();
+    std::optional<std::uint64_t> receive(Channel& channel, std::uint32_t wanted_kind, bool& disconnected);
+    void report_descriptors();
+    void notify_peers(const std::string& id, bool open);
+    void send_pending(Channel& channel);
 
     net::Loop& loop_;
     std::optional<std::string> path_;
-    Run& run_;
-    End door_, before_, after_;
-    ino_t door_inode_ = 0;
-    bool after_serves_ = false;
-    std::size_t neighbour_holds_ = 0, reported_ = 0;
-    net::Timer tell_;
+    Delegate& delegate_;
+    Channel listening_channel_, predecessor_, successor_;
+    ino_t socket_inode_ = 0;
+    bool successor_serves_ = false;
+    std::size_t predecessor_descriptors_ = 0, reported_descriptors_ = 0;
+    net::Timer report_timer_;
 };
 
 } // namespace willowrill::hot_restart
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -48,10 +48,11 @@
 // The longest wait for discovery's first word on a remembered list; as a rule it comes or fails sooner.
 constexpr auto confirm_time = 5s;
 
-class Program final : private admin::Service, private hot_restart::Succession::Run {
+class Program final : private admin::Service, private hot_restart::HotRestart::Delegate {
   public:
-    Program(config::Settings settings, operator_config::Site at_site, std::optional<std::string> door,
-            std::optional<hot_restart::InheritedListener> inheritance)
+    Program(config::Settings settings, operator_config::Site at_site,
+            std::optional<std::string> handover_socket,
+            std::optional<hot_restart::InheritedListener> inherited_listener)
         : settings_(std::move(settings)), settings_in_file_(settings_), site_(std::move(at_site)),
           list_(settings_.names), pool_(loop_, list_, settings_.report_fields,
                                         {.connections = per_side(settings_),
@@ -64,18 +65,18 @@
           host_(settings_.decisions, settings_.max_open, config::message_memory(settings_), pool_, watch_),
           front_(
               loop_, settings_, host_, per_side(settings_), [this] { return knows_workers(); },
-              inheritance ? std::move(inheritance->listener) : net::Fd()),
+              inherited_listener ? std::move(inherited_listener->listener) : net::Fd()),
           next_batch_(loop_.timer_wheel(), [] {}),
           watch_again_(loop_.timer_wheel(), [this] { watch_.watch(true); }),
           leave_(loop_.timer_wheel(), [this] { front_.begin_shutdown(end_); }),
           finish_(loop_.timer_wheel(), [this] { front_.finish_shutdown(); }),
           fresh_(loop_.timer_wheel(), [] {}), confirm_(loop_.timer_wheel(), [this] { use_remembered(); }),
           signals_(loop_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}, [this](int signal) { on_signal(signal); }),
-          succession_(loop_, std::move(door), std::move(inheritance), *this) {
+          hot_restart_(loop_, std::move(handover_socket), std::move(inherited_listener), *this) {
         pool_.set_host(host_);
-        host_.set_peer_process(succession_);
+        host_.set_peer_process(hot_restart_);
         // A former run at an upgrade still has the address among the instances.
-        if (site_.mesh) fleet_.emplace(loop_, site_, settings_, succession_.shared());
+        if (site_.mesh) fleet_.emplace(loop_, site_, settings_, hot_restart_.has_peer());
         if (fleet_) host_.set_message_observer(*fleet_);
         if (settings_.mgmt) admin_.emplace(loop_, *settings_.mgmt, static_cast<admin::Service&>(*this));
         if (!settings_.known.empty()) {
@@ -100,7 +101,7 @@
             spdlog::warn("settings: {}", remark);
         spdlog::info("{} serves on {}, discovery at {}", settings_.name, front_.address().text(),
                      settings_.discovery.text());
-        if (succession_.shared()) {
+        if (hot_restart_.has_peer()) {
             share_limits();
             fresh_.arm(loop_.now() + fresh_time);
         } else {
@@ -122,35 +123,37 @@
     void serve() {
         serving_ = true;
         front_.set_accepting(true);
-        succession_.serve();
+        hot_restart_.start_serving();
     }
 
     // Both runs of an upgrade keep to the limits of one: each has half the memory, and the new one those
     // descriptors that the old one does not hold.
     void share_limits() {
         config::Settings share = settings_in_file_;
-        if (succession_.shared()) {
+        if (hot_restart_.has_peer()) {
             share.memory_mb /= 2;
-            const std::size_t theirs = succession_.neighbour_holds();
+            const std::size_t theirs = hot_restart_.predecessor_descriptors();
             share.sockets -= std::min(share.sockets, theirs > 0 ? theirs : share.sockets / 2);
         }
         const std::size_t most = per_side(share);
         // With a successor that accepts, no more attempts are needed than there are clients, and a few that
         // outlive theirs.
-        pool_.set_max_connections(succession_.succeeded() ? std::min(most, front_.size() + few) : most);
+        pool_.set_max_connections(hot_restart_.successor_serves() ? std::min(most, front_.size() + few)
+                                                                  : most);
         front_.set_max_connections(most);
         host_.set_max_bytes(config::message_memory(share));
     }
 
-    const std::unordered_set<std::string>& ids() const override { return host_.ids(); }
+    const std::unordered_set<std::string>& message_ids() const override { return host_.ids(); }
     const net::Fd& listener() const override { return front_.listener(); }
-    std::size_t held() const override {
-        const std::size_t clients =
-            succession_.succeeded() ? front_.size() : std::max(front_.size(), front_.max_connections());
+    std::size_t required_descriptors() const override {
+        const std::size_t clients = hot_restart_.successor_serves()
+                                        ? front_.size()
+                                        : std::max(front_.size(), front_.max_connections());
         return config::spare_descriptors + clients + std::max(pool_.size(), pool_.max_connections());
     }
-    void on_neighbour() override { share_limits(); }
-    void on_successor(bool serves) override {
+    void on_peer_changed() override { share_limits(); }
+    void on_successor_changed(bool serves) override {
         share_limits();
         if (serving_ && !stopping_) front_.set_accepting(!serves);
     }
@@ -266,7 +269,7 @@
         for (const willowrill::JobClass& job_class : settings_.decisions.classes)
             longest = std::max(longest, std::min<net::Duration>(job_class.give_up, longest_counted));
         end_ = loop_.now() + longest + after_longest;
-        if (succession_.succeeded()) {
+        if (hot_restart_.successor_serves()) {
             front_.hand_over(end_);
         } else {
             leave_.arm(loop_.now() + accept_time);
@@ -348,7 +351,7 @@
     std::optional<willowrill::EndpointListUpdate> remembered_; // until discovery's first word
     net::Time end_{0};                                         // of what is taken in late
     net::SignalHandler signals_;
-    hot_restart::Succession succession_;
+    hot_restart::HotRestart hot_restart_;
     std::optional<fleet::Fleet> fleet_;
     std::optional<admin::Server> admin_;
     bool serving_ = false, stopping_ = false, ending_ = false;
@@ -392,12 +395,14 @@
                                                  : options.log_format == "json";
     if (json)
         willowrill::log::configure_logging(true, at_site.instance.empty() ? settings.name : at_site.instance);
-    auto door = willowrill::hot_restart::door_path(std::getenv("TMPDIR"), settings.listen);
-    std::optional<willowrill::hot_restart::InheritedListener> inheritance;
-    if (door)
-        inheritance = willowrill::hot_restart::inherit(*door, settings.listen, willowrill::handover_time);
-    willowrill::Program program(std::move(settings), std::move(at_site), std::move(door),
-                                std::move(inheritance));
+    auto handover_socket =
+        willowrill::hot_restart::handover_socket_path(std::getenv("TMPDIR"), settings.listen);
+    std::optional<willowrill::hot_restart::InheritedListener> inherited_listener;
+    if (handover_socket)
+        inherited_listener = willowrill::hot_restart::request_listener(*handover_socket, settings.listen,
+                                                                       willowrill::handover_time);
+    willowrill::Program program(std::move(settings), std::move(at_site), std::move(handover_socket),
+                                std::move(inherited_listener));
     held.reset();
     program.run();
     return 0;
--- a/tests/scheduler/hot_restart/upgrade_test.cpp
+++ b/tests/scheduler/hot_restart/upgrade_test.cpp
@@ -1,4 +1,5 @@
-// Two runs of one scheduler side by side: what is handed over, and what happens when either dies or hangs.
+// Hot restart with two processes of one scheduler: what is handed over, and how either copes when the other
+// crashes or hangs.
 #include "lab/folder.h"
 #include "scheduler/hot_restart/succession.h"
 #include "support/sockets.h"
@@ -15,99 +16,105 @@
 namespace willowrill::testing {
 namespace {
 
-using lab::Folder, hot_restart::Succession;
+using lab::Folder, hot_restart::HotRestart;
 
-struct FakeRun final : Succession::Run {
-    FakeRun(net::Loop& loop, const std::string& door, std::optional<hot_restart::InheritedListener> from)
-        : fd(from ? std::move(from->listener) : net::listen_on(*net::Endpoint::parse("127.0.0.1:0"), true)),
-          succession(loop, door, std::move(from), *this) {}
+struct FakeProcess final : HotRestart::Delegate {
+    FakeProcess(net::Loop& loop, const std::string& socket_path,
+                std::optional<hot_restart::InheritedListener> inherited)
+        : fd(inherited ? std::move(inherited->listener)
+                       : net::listen_on(*net::Endpoint::parse("127.0.0.1:0"), true)),
+          restart(loop, socket_path, std::move(inherited), *this) {}
     const net::Fd& listener() const override { return fd; }
-    std::size_t held() const override { return holds; }
-    const std::unordered_set<std::string>& ids() const override { return open; }
-    void on_neighbour() override { ++changes; }
-    void on_successor(bool serves) override { successor = serves; }
+    std::size_t required_descriptors() const override { return descriptors; }
+    const std::unordered_set<std::string>& message_ids() const override { return open_messages; }
+    void on_peer_changed() override { ++peer_changes; }
+    void on_successor_changed(bool serves) override { successor_serves = serves; }
 
     net::Fd fd;
-    std::size_t holds = 100;
-    std::unordered_set<std::string> open;
-    int changes = 0;
-    std::optional<bool> successor;
-    Succession succession;
+    std::size_t descriptors = 100;
+    std::unordered_set<std::string> open_messages;
+    int peer_changes = 0;
+    std::optional<bool> successor_serves;
+    HotRestart restart;
 };
 
-std::optional<hot_restart::InheritedListener> ask(net::Loop& loop, const std::string& door,
-                                                  const net::Endpoint& address) {
-    auto answer = std::async(std::launch::async, [&] { return hot_restart::inherit(door, address, 10s); });
-    CHECK(settle(loop, [&] { return answer.wait_for(0s) == std::future_status::ready; }));
-    return answer.get();
+std::optional<hot_restart::InheritedListener>
+request_listener_from(net::Loop& loop, const std::string& socket_path, const net::Endpoint& address) {
+    auto listener = std::async(std::launch::async,
+                               [&] { return hot_restart::request_listener(socket_path, address, 10s); });
+    CHECK(settle(loop, [&] { return listener.wait_for(0s) == std::future_status::ready; }));
+    return listener.get();
 }
 
 } // namespace
 
-TEST_CASE(
-    "upgrade: the listener is handed over with what waits there, and either run grows when it is alone") {
+TEST_CASE("upgrade: the listener is handed over with its queued connections, and limits grow once a process "
+          "is alone") {
     const Folder folder;
-    const std::string door = folder.path + "/door";
-    std::ofstream(door) << "stale";
+    const std::string socket_path = folder.path + "/door";
+    std::ofstream(socket_path) << "stale";
     net::Loop loop;
-    auto old_run = std::make_unique<FakeRun>(loop, door, std::nullopt);
-    const net::Endpoint address = net::local_address(old_run->fd);
-    CHECK_FALSE(hot_restart::inherit(door, address, 10s)); // nobody waits behind a stale file
-    old_run->succession.serve();
-    old_run->open = {"a"};
-    struct stat file {};
-    REQUIRE(::stat(door.c_str(), &file) == 0);
-    CHECK((file.st_mode & 0777) == 0600);
+    auto old_process = std::make_unique<FakeProcess>(loop, socket_path, std::nullopt);
+    const net::Endpoint address = net::local_address(old_process->fd);
+    CHECK_FALSE(
+        hot_restart::request_listener(socket_path, address, 10s)); // a stale file, no listening socket
+    old_process->restart.start_serving();
+    old_process->open_messages = {"a"};
+    struct stat socket_status {};
+    REQUIRE(::stat(socket_path.c_str(), &socket_status) == 0);
+    CHECK((socket_status.st_mode & 0777) == 0600);
     const auto waiting = call(loop, address); // in the queue, not accepted
 
-    FakeRun new_run(loop, door, ask(loop, door, address));
-    CHECK(new_run.succession.shared());
-    CHECK(new_run.succession.neighbour_holds() == 100);
-    CHECK(old_run->succession.shared());
-    CHECK(old_run->changes > 0); // made room before it told what it holds
-    CHECK_FALSE(old_run->succession.succeeded());
-    new_run.succession.serve();
-    CHECK(settle(loop, [&] { return old_run->succession.succeeded(); }));
-    CHECK(old_run->successor == true);
-    CHECK(settle(loop, [&] { return new_run.succession.holds("a"); })); // open before the new run came
-    old_run->succession.on_message_closed("a");
-    old_run->succession.on_message_opened("b");
-    new_run.succession.on_message_opened("c");
-    CHECK(settle(loop, [&] { return new_run.succession.holds("b") && old_run->succession.holds("c"); }));
-    CHECK_FALSE(new_run.succession.holds("a"));
-    CHECK_FALSE(new_run.succession.holds("c")); // its own
-    old_run->holds = 60;
-    CHECK(settle(loop, [&] { return new_run.succession.neighbour_holds() == 60; }));
-    old_run.reset(); // and its copy of the listener with it
-    CHECK(settle(loop, [&] { return !new_run.succession.shared(); }));
-    CHECK(new_run.succession.neighbour_holds() == 0);
-    CHECK_FALSE(new_run.succession.holds("b"));
-    CHECK(net::accept_from(new_run.fd).valid());
-    CHECK(std::filesystem::exists(door)); // it is the new run's by now
+    FakeProcess new_process(loop, socket_path, request_listener_from(loop, socket_path, address));
+    CHECK(new_process.restart.has_peer());
+    CHECK(new_process.restart.predecessor_descriptors() == 100);
+    CHECK(old_process->restart.has_peer());
+    CHECK(old_process->peer_changes > 0); // reduced its limits before it reported its descriptors
+    CHECK_FALSE(old_process->restart.successor_serves());
+    new_process.restart.start_serving();
+    CHECK(settle(loop, [&] { return old_process->restart.successor_serves(); }));
+    CHECK(old_process->successor_serves == true);
+    CHECK(settle(loop,
+                 [&] { return new_process.restart.holds("a"); })); // opened before the new process connected
+    old_process->restart.on_message_closed("a");
+    old_process->restart.on_message_opened("b");
+    new_process.restart.on_message_opened("c");
+    CHECK(settle(loop, [&] { return new_process.restart.holds("b") && old_process->restart.holds("c"); }));
+    CHECK_FALSE(new_process.restart.holds("a"));
+    CHECK_FALSE(new_process.restart.holds("c")); // its own message
+    old_process->descriptors = 60;
+    CHECK(settle(loop, [&] { return new_process.restart.predecessor_descriptors() == 60; }));
+    old_process.reset(); // also closes its copy of the listener
+    CHECK(settle(loop, [&] { return !new_process.restart.has_peer(); }));
+    CHECK(new_process.restart.predecessor_descriptors() == 0);
+    CHECK_FALSE(new_process.restart.holds("b"));
+    CHECK(net::accept_from(new_process.fd).valid());
+    CHECK(std::filesystem::exists(socket_path)); // now the new process's socket
 }
 
-// A run that is stopped for a while does not read, and its socket takes some hundred words.
-TEST_CASE("upgrade: what is told to a run that does not read for a while reaches it all the same") {
+// A stopped process does not read, and its socket buffer holds only some hundred records.
+TEST_CASE("upgrade: records for a process that does not read for a while are delivered later") {
     const Folder folder;
-    const std::string door = folder.path + "/door";
+    const std::string socket_path = folder.path + "/door";
     net::Loop loop;
-    FakeRun old_run(loop, door, std::nullopt);
-    old_run.succession.serve();
+    FakeProcess old_process(loop, socket_path, std::nullopt);
+    old_process.restart.start_serving();
     for (int i = 0; i < 5000; ++i)
-        old_run.open.insert("before " + std::to_string(i));
-    FakeRun new_run(loop, door, ask(loop, door, net::local_address(old_run.fd)));
+        old_process.open_messages.insert("before " + std::to_string(i));
+    FakeProcess new_process(loop, socket_path,
+                            request_listener_from(loop, socket_path, net::local_address(old_process.fd)));
     for (int i = 0; i < 5000; ++i) {
-        old_run.succession.on_message_opened("old " + std::to_string(i));
-        new_run.succession.on_message_opened("new " + std::to_string(i));
-        if (i % 2 == 0) old_run.succession.on_message_closed("old " + std::to_string(i));
+        old_process.restart.on_message_opened("old " + std::to_string(i));
+        new_process.restart.on_message_opened("new " + std::to_string(i));
+        if (i % 2 == 0) old_process.restart.on_message_closed("old " + std::to_string(i));
     }
-    new_run.succession.serve();
-    CHECK(settle(loop, [&] { return old_run.successor == true; }));
+    new_process.restart.start_serving();
+    CHECK(settle(loop, [&] { return old_process.successor_serves == true; }));
     const auto all_known = [&] {
         for (int i = 0; i < 5000; ++i) {
             const std::string at = std::to_string(i);
-            if (!new_run.succession.holds("before " + at) || !old_run.succession.holds("new " + at) ||
-                new_run.succession.holds("old " + at) != (i % 2 != 0))
+            if (!new_process.restart.holds("before " + at) || !old_process.restart.holds("new " + at) ||
+                new_process.restart.holds("old " + at) != (i % 2 != 0))
                 return false;
         }
         return true;
@@ -115,34 +122,36 @@
     CHECK(settle(loop, all_known));
 }
 
-TEST_CASE("upgrade: when the new run dies, the old one serves on and can be succeeded by another") {
+TEST_CASE("upgrade: when the new process dies, the old one goes on serving and accepts another successor") {
     const Folder folder;
-    const std::string door = folder.path + "/door";
+    const std::string socket_path = folder.path + "/door";
     net::Loop loop;
-    FakeRun old_run(loop, door, std::nullopt);
-    const net::Endpoint address = net::local_address(old_run.fd);
-    old_run.succession.serve();
+    FakeProcess old_process(loop, socket_path, std::nullopt);
+    const net::Endpoint address = net::local_address(old_process.fd);
+    old_process.restart.start_serving();
     {
-        FakeRun dies(loop, door, ask(loop, door, address));
-        dies.succession.serve();
-        CHECK(settle(loop, [&] { return old_run.succession.succeeded(); }));
+        FakeProcess short_lived(loop, socket_path, request_listener_from(loop, socket_path, address));
+        short_lived.restart.start_serving();
+        CHECK(settle(loop, [&] { return old_process.restart.successor_serves(); }));
     }
-    CHECK(settle(loop, [&] { return !old_run.succession.shared(); }));
-    CHECK(old_run.successor == false);
-    CHECK(ask(loop, door, address));
+    CHECK(settle(loop, [&] { return !old_process.restart.has_peer(); }));
+    CHECK(old_process.successor_serves == false);
+    CHECK(request_listener_from(loop, socket_path, address));
 }
 
-TEST_CASE("upgrade: a predecessor that hangs or holds another address hands over nothing") {
+TEST_CASE("upgrade: a predecessor that hangs or listens on another address hands over nothing") {
     const Folder folder;
-    const std::string door = folder.path + "/door";
+    const std::string socket_path = folder.path + "/door";
     net::Loop loop;
-    FakeRun old_run(loop, door, std::nullopt);
-    old_run.succession.serve();
-    CHECK_FALSE(hot_restart::inherit(door, net::local_address(old_run.fd), 1ms)); // its loop stands still
-    CHECK_FALSE(ask(loop, door, *net::Endpoint::parse("127.0.0.1:1")));
-    CHECK(net::listen_on(net::local_address(old_run.fd), true).valid()); // the way that is left
-    CHECK_FALSE(hot_restart::door_path(std::string(200, 'a').c_str(), {}));
-    CHECK_FALSE(hot_restart::door_path(nullptr, {}));
+    FakeProcess old_process(loop, socket_path, std::nullopt);
+    old_process.restart.start_serving();
+    CHECK_FALSE(hot_restart::request_listener(socket_path, net::local_address(old_process.fd),
+                                              1ms)); // its event loop does not run
+    CHECK_FALSE(request_listener_from(loop, socket_path, *net::Endpoint::parse("127.0.0.1:1")));
+    CHECK(net::listen_on(net::local_address(old_process.fd), true)
+              .valid()); // SO_REUSEPORT still allows a second listener
+    CHECK_FALSE(hot_restart::handover_socket_path(std::string(200, 'a').c_str(), {}));
+    CHECK_FALSE(hot_restart::handover_socket_path(nullptr, {}));
 }
 
 } // namespace willowrill::testing
