--- a/src/scheduler/admin/figures.h
+++ b/src/scheduler/admin/figures.h
@@ -1,4 +1,4 @@
-// What operators read at /_vars, and how it is written.
+// The metrics of this process that the admin server exposes at /_vars.
 #pragma once
 
 #include <cstdint>
@@ -7,17 +7,17 @@
 
 namespace willowrill::admin {
 
-struct ClassFigures {
+struct ClassMetrics {
     std::string name;
     std::uint64_t served = 0, refused = 0, failed = 0;
 };
 
-struct Figures {
-    std::vector<ClassFigures> classes; // every known class, also those that nobody has asked for yet
-    std::uint64_t attempts = 0;        // written whole to workers
+struct Metrics {
+    std::vector<ClassMetrics> classes; // all configured classes, including those without requests
+    std::uint64_t attempts = 0;        // whose request was written completely to a worker
     std::size_t in_flight = 0, workers_known = 0, workers_excluded = 0;
 };
 
-std::string to_text(const Figures& figures); // in the Prometheus text format
+std::string to_prometheus_text(const Metrics& metrics); // in the Prometheus text format
 
 } // namespace willowrill::admin
--- a/src/scheduler/admin/server.h
+++ b/src/scheduler/admin/server.h
@@ -1,5 +1,6 @@
-// The admin server: a second address, for operators alone, with readiness, the figures and the drain switch.
-// One call a connection. It knows the rest of the program by `Service` only.
+// The admin server: an HTTP server on a separate address for operators, with readiness, metrics and the
+// lame-duck switch. It serves one request per connection and depends on the rest of the program only through
+// `Service`.
 #pragma once
 
 #include "scheduler/admin/figures.h"
@@ -15,30 +16,34 @@
 
 namespace willowrill::admin {
 
+// What the admin server asks of the program. Called on the loop's thread.
 class Service {
   public:
     virtual ~Service() = default;
-    virtual bool can_serve() const = 0;
-    virtual Figures figures() const = 0;
-    virtual void lame_duck(bool on) = 0; // asked again, it changes nothing
-    // Further calls by GET, such as `/_counts`: nothing where there is no such call, `text` empty where it is
-    // off.
-    struct Report {
+    virtual bool is_ready() const = 0;
+    virtual Metrics metrics() const = 0;
+    virtual void set_lame_duck(bool on) = 0; // idempotent
+    // A further resource to be read by GET, such as `/_counts`. `text` is empty if the feature is disabled.
+    struct Resource {
         std::string_view type;
         std::string text;
     };
-    virtual std::optional<Report> report(std::string_view) const { return std::nullopt; }
-    virtual std::string further_figures() const { return ""; } // behind the others at /_vars
+    // Returns nothing if there is no resource at this path.
+    virtual std::optional<Resource> resource(std::string_view) const { return std::nullopt; }
+    virtual std::string extra_metrics() const { return ""; } // appended to the metrics at /_vars
 };
 
+// `rejected`: requests answered with a status of 400 or above, except 503. `timed_out`: connections closed
+// without a complete request. `evicted`: connections closed for the sake of a newer one.
 struct ServerCounters {
-    std::uint64_t calls = 0, bad = 0, silent = 0, evicted = 0;
+    std::uint64_t requests = 0, rejected = 0, timed_out = 0, evicted = 0;
 };
 
+// Runs on the given loop. The constructor throws std::system_error if the address cannot be bound.
 class Server final : private net::Pollable {
   public:
-    // How many callers it holds at once; these descriptors are kept free of clients and workers.
-    static constexpr std::size_t most_callers = 8;
+    // Descriptors are reserved for this many connections; clients and workers cannot use them.
+    static constexpr std::size_t max_connections = 8;
 
     Server(net::Loop& loop, const net::Endpoint& address, Service& service);
     ~Server() override;
@@ -47,15 +52,15 @@
     const ServerCounters& counters() const { return counters_; }
 
   private:
-    class Call;
+    class Session;
 
     void on_ready(short events) override;
-    void drop(Call& call);
+    void close_session(Session& session);
 
     net::Loop& loop_;
     Service& service_;
     net::Fd listener_;
-    std::list<std::shared_ptr<Call>> calls_; // the oldest first
+    std::list<std::shared_ptr<Session>> sessions_; // oldest first
     ServerCounters counters_;
 };
 
--- a/src/scheduler/ctl/call.cpp
+++ b/src/scheduler/ctl/call.cpp
@@ -16,50 +16,54 @@
 using namespace std::chrono_literals;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto patience = 5s;
-constexpr std::size_t most_answer = 256U << 20U; // a fleet's totals may be long
+constexpr auto request_timeout = 5s;
+constexpr std::size_t max_body_bytes = 256U << 20U; // the totals of a large fleet
 
-bool wait(const net::Fd& fd, short events, Clock::time_point until) {
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(until - Clock::now()).count();
-    pollfd one{.fd = fd.get(), .events = events, .revents = 0};
-    return left > 0 && ::poll(&one, 1, static_cast<int>(left)) > 0;
+// Waits for the events; returns false once the deadline has passed.
+bool wait_until_ready(const net::Fd& fd, short events, Clock::time_point deadline) {
+    const auto remaining_ms = std::chrono::ceil<std::chrono::milliseconds>(deadline - Clock::now()).count();
+    pollfd descriptor{.fd = fd.get(), .events = events, .revents = 0};
+    return remaining_ms > 0 && ::poll(&descriptor, 1, static_cast<int>(remaining_ms)) > 0;
 }
 
 } // namespace
 
-Answer get(const net::Endpoint& address, const std::string& path) {
-    const auto until = Clock::now() + patience;
-    const auto failed = [&](const std::string& why) { return Answer{0, "", address.text() + ": " + why}; };
+HttpResponse http_get(const net::Endpoint& address, const std::string& path) {
+    const auto deadline = Clock::now() + request_timeout;
+    const auto failure = [&](const std::string& reason) {
+        return HttpResponse{0, "", address.text() + ": " + reason};
+    };
     const net::Fd fd = net::connect_to(address);
-    if (!fd.valid()) return failed(std::strerror(errno));
-    if (!wait(fd, POLLOUT, until)) return failed("nobody answers");
+    if (!fd.valid()) return failure(std::strerror(errno));
+    if (!wait_until_ready(fd, POLLOUT, deadline)) return failure("connection timed out");
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(fd.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return failed(std::strerror(error));
+    if (error != 0) return failure(std::strerror(error));
     const std::string request =
         "GET " + path + " HTTP/1.1\r\nHost: " + address.text() + "\r\nConnection: close\r\n\r\n";
     if (::send(fd.get(), request.data(), request.size(), MSG_NOSIGNAL) !=
         static_cast<ssize_t>(request.size()))
-        return failed(std::strerror(errno));
+        return failure(std::strerror(errno));
     net::http::Parser parser(net::http::Parser::Kind::response);
-    Answer out;
+    HttpResponse response;
     while (!parser.done()) {
         std::array<char, 65536> buffer{};
-        if (!wait(fd, POLLIN, until)) return failed("no answer within 5 s");
-        const auto got = ::recv(fd.get(), buffer.data(), buffer.size(), 0);
-        if (got < 0) return failed(std::strerror(errno));
-        if (got == 0) {
+        if (!wait_until_ready(fd, POLLIN, deadline)) return failure("no response within 5 s");
+        const auto received = ::recv(fd.get(), buffer.data(), buffer.size(), 0);
+        if (received < 0) return failure(std::strerror(errno));
+        if (received == 0) {
             parser.end_of_input();
-            if (!parser.done()) return failed("the answer breaks off");
+            if (!parser.done()) return failure("connection closed before the response was complete");
         }
-        parser.feed({buffer.data(), static_cast<std::size_t>(got)});
-        out.body += parser.body(); // the parser bounds what it holds, so it is emptied on the way
+        parser.feed({buffer.data(), static_cast<std::size_t>(received)});
+        response.body += parser.body(); // the parser limits its buffer, so it is drained here
         parser.body().clear();
-        if (parser.bad() || out.body.size() > most_answer) return failed("an answer that cannot be read");
+        if (parser.bad() || response.body.size() > max_body_bytes)
+            return failure("malformed or oversized response");
     }
-    out.status = parser.head().status;
-    return out;
+    response.status = parser.head().status;
+    return response;
 }
 
 } // namespace willowrill::ctl
--- a/src/scheduler/ctl/call.h
+++ b/src/scheduler/ctl/call.h
@@ -1,4 +1,4 @@
-// One call to a scheduler's operators' address, waited for.
+// A blocking HTTP client for the admin server of a scheduler.
 #pragma once
 
 #include "scheduler/net/socket.h"
@@ -7,11 +7,12 @@
 
 namespace willowrill::ctl {
 
-struct Answer {
-    int status = 0; // 0: none, and `error` says why
+struct HttpResponse {
+    int status = 0; // 0 if there is no response; `error` has the reason
     std::string body, error;
 };
 
-Answer get(const net::Endpoint& address, const std::string& path);
+// Sends one GET request and waits at most 5 s for the response.
+HttpResponse http_get(const net::Endpoint& address, const std::string& path);
 
 } // namespace willowrill::ctl
--- a/src/scheduler/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -1,4 +1,5 @@
-// For operators: checks their file, and asks a running scheduler for what it knows of the fleet.
+// The operators' command-line tool: checks a configuration file, and queries a running scheduler about its
+// fleet.
 #include "scheduler/ctl/call.h"
 #include "scheduler/log/log.h"
 #include "scheduler/operator_config/site.h"
@@ -17,8 +18,15 @@
 namespace willowrill::ctl {
 namespace {
 
-// What a script may rely on.
-enum Exit { good = 0, bad_file = 1, usage = 2, unreachable = 3, refused = 4, unwell = 5 };
+// Exit codes. Scripts rely on them.
+enum Exit {
+    success = 0,
+    invalid_file = 1,
+    usage_error = 2,
+    unreachable = 3,
+    bad_response = 4,
+    unhealthy_member = 5
+};
 
 struct Options {
     std::string file, address = "127.0.0.1:19000", tenant, job_class;
@@ -33,7 +41,7 @@
         problems = error.problems();
     }
     if (options.json) {
-        // The same words as in the text form, with the line and key apart.
+        // The same messages as in the text format, with file, line and key as separate fields.
         std::cout << "[";
         for (std::size_t i = 0; i < problems.size(); ++i) {
             std::cout << (i > 0 ? ",\n" : "\n") << "{\"file\":" << log::json_quote(problems[i].file)
@@ -46,26 +54,26 @@
             std::cerr << problem.text() << '\n';
         if (problems.empty()) std::cout << options.file << ": good\n";
     }
-    return problems.empty() ? good : bad_file;
+    return problems.empty() ? success : invalid_file;
 }
 
-// A table of texts, each column as wide as it must be; numbers to the right.
+// Prints rows of texts in aligned columns; columns of numbers are right-aligned. The first row is the header.
 class Table {
   public:
-    explicit Table(std::vector<std::string> head) : rows_{std::move(head)} {}
+    explicit Table(std::vector<std::string> header) : rows_{std::move(header)} {}
     void add(std::vector<std::string> row) { rows_.push_back(std::move(row)); }
     void print() const {
-        std::vector<std::size_t> width(rows_[0].size(), 0);
+        std::vector<std::size_t> widths(rows_[0].size(), 0);
         for (const auto& row : rows_)
             for (std::size_t i = 0; i < row.size(); ++i)
-                width[i] = std::max(width[i], row[i].size());
+                widths[i] = std::max(widths[i], row[i].size());
         for (const auto& row : rows_) {
             std::string line;
             for (std::size_t i = 0; i < row.size(); ++i) {
-                const std::string space(width[i] - row[i].size(), ' ');
-                const bool number = rows_.size() > 1 && !rows_[1][i].empty() &&
-                                    rows_[1][i].find_first_not_of("0123456789") == std::string::npos;
-                line += (i > 0 ? "  " : "") + (number ? space + row[i] : row[i] + space);
+                const std::string padding(widths[i] - row[i].size(), ' ');
+                const bool is_number = rows_.size() > 1 && !rows_[1][i].empty() &&
+                                       rows_[1][i].find_first_not_of("0123456789") == std::string::npos;
+                line += (i > 0 ? "  " : "") + (is_number ? padding + row[i] : row[i] + padding);
             }
             line.erase(line.find_last_not_of(' ') + 1);
             std::cout << line << '\n';
@@ -76,121 +84,128 @@
     std::vector<std::vector<std::string>> rows_;
 };
 
-std::string text(simdjson::dom::element row, const char* key) {
+// A string or an unsigned integer as text.
+std::string field_text(simdjson::dom::element row, const char* key) {
     const simdjson::dom::element value = row[key];
     if (value.is_string()) return std::string(std::string_view(value));
     return std::to_string(std::uint64_t(value));
 }
 
-std::string seconds(std::uint64_t milliseconds) {
+std::string format_seconds(std::uint64_t milliseconds) {
     std::ostringstream out;
     out << std::fixed << std::setprecision(1) << static_cast<double>(milliseconds) / 1000 << " s";
     return out.str();
 }
 
-void print_counts(simdjson::dom::element all, const Options& options) {
-    std::cout << "seen from " << text(all, "instance") << ": " << text(all, "instances")
-              << " instances, news up to " << seconds(all["age_ms"])
-              << " old; the truth lies within low..high\n";
+void print_counts(simdjson::dom::element document, const Options& options) {
+    std::cout << "seen from " << field_text(document, "instance") << ": " << field_text(document, "instances")
+              << " instances, data up to " << format_seconds(document["age_ms"])
+              << " old; each true count lies between LOW and HIGH\n";
     Table table({"TENANT", "CLASS", "OUTCOME", "LOW", "ESTIMATE", "HIGH"});
     std::size_t shown = 0;
-    for (const simdjson::dom::element row : simdjson::dom::array(all["totals"])) {
-        if (!options.tenant.empty() && text(row, "tenant") != options.tenant) continue;
-        if (!options.job_class.empty() && text(row, "class") != options.job_class) continue;
+    for (const simdjson::dom::element row : simdjson::dom::array(document["totals"])) {
+        if (!options.tenant.empty() && field_text(row, "tenant") != options.tenant) continue;
+        if (!options.job_class.empty() && field_text(row, "class") != options.job_class) continue;
         ++shown;
-        table.add({text(row, "tenant"), text(row, "class"), text(row, "outcome"), text(row, "low"),
-                   text(row, "estimate"), text(row, "high")});
+        table.add({field_text(row, "tenant"), field_text(row, "class"), field_text(row, "outcome"),
+                   field_text(row, "low"), field_text(row, "estimate"), field_text(row, "high")});
     }
     if (shown == 0) {
         std::cout << "nothing counted yet" << (options.tenant.empty() ? "" : " for that tenant")
-                  << "; at most " << text(all, "slack") << " each\n";
+                  << "; at most " << field_text(document, "slack") << " jobs per total\n";
     } else {
         table.print();
     }
 }
 
-int print_members(simdjson::dom::element all) {
+int print_members(simdjson::dom::element document) {
     Table table({"NAME", "ADDRESS", "STATE", "LIFE"});
-    const auto add = [&](simdjson::dom::element one, const char* note) {
-        table.add({text(one, "name") + note, text(one, "address"), text(one, "state"), text(one, "life")});
+    const auto add = [&](simdjson::dom::element member, const char* suffix) {
+        table.add({field_text(member, "name") + suffix, field_text(member, "address"),
+                   field_text(member, "state"), field_text(member, "life")});
     };
-    add(all["self"], " *");
-    bool well = true;
-    for (const simdjson::dom::element one : simdjson::dom::array(all["members"])) {
-        add(one, "");
-        const std::string state = text(one, "state");
-        well = well && (state == "alive" || state == "left");
+    add(document["self"], " *");
+    bool all_healthy = true;
+    for (const simdjson::dom::element member : simdjson::dom::array(document["members"])) {
+        add(member, "");
+        const std::string state = field_text(member, "state");
+        all_healthy = all_healthy && (state == "alive" || state == "left");
     }
     table.print();
-    return well ? good : unwell;
+    return all_healthy ? success : unhealthy_member;
 }
 
-int ask(const Options& options, const std::string& path) {
+int query(const Options& options, const std::string& path) {
     const auto address = net::Endpoint::parse(options.address);
     if (!address) {
-        std::cerr << "--address: found '" << options.address << "', allowed: an IPv4 address and a port\n";
-        return usage;
+        std::cerr << "--address: found '" << options.address << "', expected an IPv4 address and a port\n";
+        return usage_error;
     }
-    const Answer answer = get(*address, path);
-    if (answer.status == 0) {
-        std::cerr << answer.error << '\n';
+    const HttpResponse response = http_get(*address, path);
+    if (response.status == 0) {
+        std::cerr << response.error << '\n';
         return unreachable;
     }
-    if (answer.status != 200) {
-        std::cerr << options.address << " says " << answer.status << ": " << answer.body;
-        return refused;
+    if (response.status != 200) {
+        std::cerr << options.address << " answered with status " << response.status << ": " << response.body;
+        return bad_response;
     }
     if (options.json) {
-        std::cout << answer.body;
-        return good;
+        std::cout << response.body;
+        return success;
     }
     simdjson::dom::parser parser;
-    simdjson::dom::element all;
-    if (parser.parse(answer.body).get(all) != simdjson::SUCCESS) {
+    simdjson::dom::element document;
+    if (parser.parse(response.body).get(document) != simdjson::SUCCESS) {
         std::cerr << options.address
-                  << ": an answer that cannot be read; is that a scheduler's operators' address?\n";
-        return refused;
+                  << ": malformed response; is this the admin address (`mgmt`) of a scheduler?\n";
+        return bad_response;
     }
-    if (path == "/_members") return print_members(all);
-    print_counts(all, options);
-    return good;
+    if (path == "/_members") return print_members(document);
+    print_counts(document, options);
+    return success;
 }
 
-int run(int count, char** arguments) {
+int run(int argc, char** argv) {
     Options options;
-    CLI::App app("willowrillctl, for the operators of willowrill.\n"
-                 "Exit: 0 good, 1 a file with problems, 2 usage, 3 nobody answers, 4 the scheduler says no,\n"
-                 "      5 an instance is suspect or dead.");
+    CLI::App app("willowrillctl, the command-line tool for operators of willowrill.\n"
+                 "Exit codes: 0 success, 1 invalid file, 2 usage error, 3 scheduler unreachable,\n"
+                 "            4 error response, 5 an instance is suspect or dead.");
     app.require_subcommand(1);
-    const auto ask_options = [&](CLI::App* command) {
-        command->add_option("--address", options.address, "a scheduler's operators' address (its `mgmt`)")
+    const auto add_query_options = [&](CLI::App* command) {
+        command->add_option("--address", options.address, "the admin address of a scheduler (its `mgmt`)")
             ->option_text("HOST:PORT [127.0.0.1:19000]");
-        command->add_flag("--json", options.json, "the scheduler's own words");
+        command->add_flag("--json", options.json, "print the JSON response of the scheduler");
     };
-    CLI::App* check_command = app.add_subcommand("check", "say what is wrong with an operators' file");
-    check_command->add_option("file", options.file, "the file, YAML")->required()->option_text("FILE");
-    check_command->add_flag("--json", options.json, "a list of objects: file, line, key, problem");
-    CLI::App* counts = app.add_subcommand("counts", "use by tenant, class and outcome, over all instances");
-    ask_options(counts);
-    counts->add_option("--tenant", options.tenant, "of this tenant alone")->option_text("NAME");
-    counts->add_option("--class", options.job_class, "of this class alone")->option_text("NAME");
-    CLI::App* members = app.add_subcommand("members", "the instances, as the one asked sees them (*)");
-    ask_options(members);
+    CLI::App* check_command = app.add_subcommand("check", "check an operators' file");
+    check_command->add_option("file", options.file, "the file to check (YAML)")
+        ->required()
+        ->option_text("FILE");
+    check_command->add_flag("--json", options.json,
+                            "print a JSON array of objects: file, line, key, problem");
+    CLI::App* counts_command =
+        app.add_subcommand("counts", "show job counts by tenant, class and outcome over all instances");
+    add_query_options(counts_command);
+    counts_command->add_option("--tenant", options.tenant, "only this tenant")->option_text("NAME");
+    counts_command->add_option("--class", options.job_class, "only this class")->option_text("NAME");
+    CLI::App* members_command =
+        app.add_subcommand("members", "show the instances as seen by the queried one (*)");
+    add_query_options(members_command);
     try {
-        app.parse(count, arguments);
+        app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? good : usage;
+        return app.exit(error) == 0 ? success : usage_error;
     }
     if (check_command->parsed()) return check(options);
-    return ask(options, counts->parsed() ? "/_counts" : "/_members");
+    return query(options, counts_command->parsed() ? "/_counts" : "/_members");
 }
 
 } // namespace
 } // namespace willowrill::ctl
 
-int main(int count, char** arguments) {
+int main(int argc, char** argv) {
     try {
-        return willowrill::ctl::run(count, arguments);
+        return willowrill::ctl::run(argc, argv);
     } catch (const std::exception& error) {
         std::cerr << "willowrillctl: " << error.what() << '\n';
         return 4;
--- a/src/scheduler/fleet/fleet.h
+++ b/src/scheduler/fleet/fleet.h
@@ -1,5 +1,6 @@
-// This scheduler as one of a fleet: its messages' ends go into the shared counts, and operators are told of
-// the fleet. Knows the host by `core::MessageObserver`, and nothing of clients or workers.
+// This scheduler as a member of a fleet: the outcomes of its messages are added to the shared counts, and the
+// state of the fleet is reported to operators. It is attached to the host as its `core::MessageObserver` and
+// does not depend on clients or workers.
 #pragma once
 
 #include "scheduler/config/settings.h"
@@ -13,31 +14,32 @@
 
 namespace willowrill::fleet {
 
-// Jobs whose client names no known tenant.
-inline constexpr std::string_view no_tenant = "(none)";
+// The tenant under which jobs without a known tenant are counted.
+inline constexpr std::string_view unknown_tenant = "(none)";
 
 class Fleet final : public core::MessageObserver {
   public:
-    // `site.mesh` is set. `wait`: see `gossip::Mesh`. Throws std::system_error.
-    Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings, bool wait);
+    // `site.mesh` must be set. `wait_for_address`: the predecessor of a hot restart still uses the mesh
+    // address (see `gossip::Mesh`). Throws std::system_error if the address cannot be bound.
+    Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings,
+          bool wait_for_address);
 
     void on_message_ended(Index job_class, Index tenant, FinalStatus ending) override;
 
-    std::string counts_json() const; // empty: counts are off
+    std::string counts_json() const; // empty if counts are disabled
     std::string members_json() const;
-    std::string figures() const; // in the Prometheus text format
+    std::string prometheus_text() const; // in the Prometheus text format
 
-    void set(const operator_config::Site& site) { mesh_.update_settings(site); }
-    void leave(std::function<void()> gone) { mesh_.leave(std::move(gone)); }
+    void apply_config(const operator_config::Site& site) { mesh_.update_settings(site); }
+    void leave(std::function<void()> on_left) { mesh_.leave(std::move(on_left)); }
     gossip::Mesh& mesh() { return mesh_; }
 
   private:
     net::Loop& loop_;
     config::Names names_;
-    bool counts_;
+    bool counts_enabled_;
     gossip::Mesh mesh_;
-    std::vector<counts::SeriesIndex>
-        series_; // by class and tenant, the unknown one last; made when first counted
+    std::vector<counts::SeriesIndex> series_; // by class and tenant (unknown last); created at first use
 };
 
 } // namespace willowrill::fleet
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -253,7 +253,7 @@
 
     void take_over(operator_config::Site now) {
         if (!now.log.level.empty()) spdlog::set_level(spdlog::level::from_str(now.log.level));
-        if (fleet_) fleet_->set(now);
+        if (fleet_) fleet_->apply_config(now);
         site_ = std::move(now);
         log::event(spdlog::level::info, "site.read_again", {{"file", site_.file}},
                    "operators' file read again");
@@ -278,16 +278,16 @@
     }
 
     bool knows_workers() const { return !list_.empty() && !remembered_; }
-    bool can_serve() const override { return serving_ && knows_workers() && !stopping_; }
-    void lame_duck(bool on) override { front_.set_lame_duck(on); }
-    std::optional<Report> report(std::string_view path) const override {
-        if (path == "/_counts") return Report{"application/json", fleet_ ? fleet_->counts_json() : ""};
-        if (path == "/_members") return Report{"application/json", fleet_ ? fleet_->members_json() : ""};
+    bool is_ready() const override { return serving_ && knows_workers() && !stopping_; }
+    void set_lame_duck(bool on) override { front_.set_lame_duck(on); }
+    std::optional<Resource> resource(std::string_view path) const override {
+        if (path == "/_counts") return Resource{"application/json", fleet_ ? fleet_->counts_json() : ""};
+        if (path == "/_members") return Resource{"application/json", fleet_ ? fleet_->members_json() : ""};
         return std::nullopt;
     }
-    std::string further_figures() const override { return fleet_ ? fleet_->figures() : ""; }
-    admin::Figures figures() const override {
-        admin::Figures out{.classes = {},
+    std::string extra_metrics() const override { return fleet_ ? fleet_->prometheus_text() : ""; }
+    admin::Metrics metrics() const override {
+        admin::Metrics out{.classes = {},
                            .attempts = pool_.counters().written,
                            .in_flight = host_.open_messages(),
                            .workers_known = list_.listed(),
@@ -329,8 +329,8 @@
             spdlog::info("log: dropped {}", dropped);
         if (admin_) {
             const admin::ServerCounters& admin = admin_->counters();
-            spdlog::info("mgmt: calls {} bad {} silent {} evicted {}", admin.calls, admin.bad, admin.silent,
-                         admin.evicted);
+            spdlog::info("mgmt: calls {} bad {} silent {} evicted {}", admin.requests, admin.rejected,
+                         admin.timed_out, admin.evicted);
         }
         spdlog::info("inventory: lists {} broken {} silences {} version {}; batches {}; reloads {}",
                      host.list_updates, host.failed_list_updates, watch_.silences(), list_.version(),
