--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -1,4 +1,4 @@
-// The scheduler: reads what it is told, puts the parts together, and ends in good order.
+// The scheduler program: reads its configuration, connects the components, and shuts down gracefully.
 #include "scheduler/admin/server.h"
 #include "scheduler/config/settings.h"
 #include "scheduler/core/host.h"
@@ -33,62 +33,66 @@
 
 using namespace std::chrono_literals;
 
-// After SIGTERM new connections keep coming for up to 0.4 s; requests that come later than 0.7 s after it
-// must have their answer before SIGKILL, which comes no sooner than the longest deadline plus 0.7 s, with
-// that deadline counted as 3 s where it is longer.
-constexpr auto accept_time = 550ms;
-constexpr auto longest_counted = 3s;
-constexpr auto after_longest = 450ms; // with a margin of a quarter of a second
-constexpr std::size_t few = 8;
-// At an upgrade: how long a predecessor may take to hand the listener over, and discovery to tell a new run
-// what is newer than the list it remembers. The predecessor serves meanwhile; both are far below the 6 s for
-// a yes.
-constexpr auto handover_time = 1s;
-constexpr auto fresh_time = 2s;
-// The longest wait for discovery's first word on a remembered list; as a rule it comes or fails sooner.
-constexpr auto confirm_time = 5s;
+// Timing of a shutdown. New connections keep arriving for up to 0.4 s after SIGTERM. Requests that arrive
+// later than 0.7 s after SIGTERM must be answered before SIGKILL, which follows no earlier than the longest
+// deadline plus 0.7 s; a deadline longer than 3 s counts as 3 s.
+constexpr auto accept_window = 550ms;
+constexpr auto max_counted_deadline = 3s;
+constexpr auto deadline_margin = 450ms; // 0.7 s less a safety margin of 0.25 s
+// Upstream connections beyond the number of clients once a successor serves: attempts may outlive their
+// clients.
+constexpr std::size_t extra_attempts = 8;
+// During a hot restart: how long the predecessor may take to hand over the listener, and how long discovery
+// may take to update the remembered list of the new process. The predecessor serves meanwhile; both are far
+// below the 6 s for a yes.
+constexpr auto handover_timeout = 1s;
+constexpr auto fresh_list_timeout = 2s;
+// The longest wait for discovery's first answer before the remembered list is used. Usually the answer or a
+// failure comes earlier.
+constexpr auto confirm_timeout = 5s;
 
 class Program final : private admin::Service, private hot_restart::HotRestart::Delegate {
   public:
-    Program(config::Settings settings, operator_config::Site at_site,
-            std::optional<std::string> handover_socket,
+    Program(config::Settings settings, operator_config::Site site, std::optional<std::string> handover_socket,
             std::optional<hot_restart::InheritedListener> inherited_listener)
-        : settings_(std::move(settings)), settings_in_file_(settings_), site_(std::move(at_site)),
+        : settings_(std::move(settings)), latest_settings_(settings_), site_(std::move(site)),
           list_(settings_.names), pool_(loop_, list_, settings_.report_fields,
-                                        {.connections = per_side(settings_),
+                                        {.connections = max_connections_per_side(settings_),
                                          .idle = settings_.connection_idle,
                                          .connect_timeout = settings_.connect_timeout}),
           watch_times_(
               discovery_client::watch_times(settings_.decisions.list_valid, settings_.decisions.drain_grace)),
           watch_(loop_, settings_.discovery, watch_times_, settings_.decisions.seed, list_,
-                 [this](auto news) { on_list(std::move(news)); }),
+                 [this](auto update) { on_list_update(std::move(update)); }),
           host_(settings_.decisions, settings_.max_open, config::message_memory(settings_), pool_, watch_),
           front_(
-              loop_, settings_, host_, per_side(settings_), [this] { return knows_workers(); },
+              loop_, settings_, host_, max_connections_per_side(settings_),
+              [this] { return has_confirmed_workers(); },
               inherited_listener ? std::move(inherited_listener->listener) : net::Fd()),
-          next_batch_(loop_.timer_wheel(), [] {}),
-          watch_again_(loop_.timer_wheel(), [this] { watch_.watch(true); }),
-          leave_(loop_.timer_wheel(), [this] { front_.begin_shutdown(end_); }),
-          finish_(loop_.timer_wheel(), [this] { front_.finish_shutdown(); }),
-          fresh_(loop_.timer_wheel(), [] {}), confirm_(loop_.timer_wheel(), [this] { use_remembered(); }),
+          batch_timer_(loop_.timer_wheel(), [] {}),
+          rewatch_timer_(loop_.timer_wheel(), [this] { watch_.watch(true); }),
+          leave_timer_(loop_.timer_wheel(), [this] { front_.begin_shutdown(drain_deadline_); }),
+          finish_timer_(loop_.timer_wheel(), [this] { front_.finish_shutdown(); }),
+          fresh_list_timer_(loop_.timer_wheel(), [] {}),
+          confirm_timer_(loop_.timer_wheel(), [this] { use_remembered_list(); }),
           signals_(loop_, {SIGTERM, SIGINT, SIGUSR1, SIGHUP}, [this](int signal) { on_signal(signal); }),
           hot_restart_(loop_, std::move(handover_socket), std::move(inherited_listener), *this) {
         pool_.set_host(host_);
         host_.set_peer_process(hot_restart_);
-        // A former run at an upgrade still has the address among the instances.
+        // During a hot restart the predecessor still uses the mesh address.
         if (site_.mesh) fleet_.emplace(loop_, site_, settings_, hot_restart_.has_peer());
         if (fleet_) host_.set_message_observer(*fleet_);
         if (settings_.mgmt) admin_.emplace(loop_, *settings_.mgmt, static_cast<admin::Service&>(*this));
         if (!settings_.known.empty()) {
-            if (auto news = list_.read(settings_.known)) {
-                news->kind = willowrill::EndpointListUpdate::Kind::remembered;
-                log_entries(*news);
-                remembered_ = std::move(news);
+            if (auto list = list_.read(settings_.known)) {
+                list->kind = willowrill::EndpointListUpdate::Kind::remembered;
+                log_entries(*list);
+                remembered_list_ = std::move(list);
             } else {
-                spdlog::warn("inventory: the remembered list is no list; starting without it");
+                spdlog::warn("inventory: the remembered list is malformed; starting without it");
             }
         }
-        if (!settings_.decisions.list_on_request) watch_.watch(true); // here, too, it must be asked for
+        if (!settings_.decisions.list_on_request) watch_.watch(true); // a pushed list must be requested, too
     }
 
     void run() {
@@ -103,45 +107,48 @@
                      settings_.discovery.text());
         if (hot_restart_.has_peer()) {
             share_limits();
-            fresh_.arm(loop_.now() + fresh_time);
+            fresh_list_timer_.arm(loop_.now() + fresh_list_timeout);
         } else {
-            serve();
+            start_serving();
         }
-        if (remembered_) confirm_.arm(loop_.now() + confirm_time);
-        host_.run_batch(loop_.now()); // the module asks for the list
+        if (remembered_list_) confirm_timer_.arm(loop_.now() + confirm_timeout);
+        host_.run_batch(loop_.now()); // the dispatcher requests the list
         loop_.run();
         print_counters();
     }
 
   private:
-    static std::size_t per_side(const config::Settings& settings) {
+    static std::size_t max_connections_per_side(const config::Settings& settings) {
         rlimit allowed{};
         ::getrlimit(RLIMIT_NOFILE, &allowed);
         return config::connections_per_side(settings, allowed.rlim_cur);
     }
 
-    void serve() {
+    void start_serving() {
         serving_ = true;
         front_.set_accepting(true);
         hot_restart_.start_serving();
     }
 
-    // Both runs of an upgrade keep to the limits of one: each has half the memory, and the new one those
-    // descriptors that the old one does not hold.
+    // During a hot restart both processes together keep the limits of one: each uses half the memory, and the
+    // new process uses only the descriptors that the old one does not reserve.
     void share_limits() {
-        config::Settings share = settings_in_file_;
+        config::Settings own_limits = latest_settings_;
         if (hot_restart_.has_peer()) {
-            share.memory_mb /= 2;
-            const std::size_t theirs = hot_restart_.predecessor_descriptors();
-            share.sockets -= std::min(share.sockets, theirs > 0 ? theirs : share.sockets / 2);
+            own_limits.memory_mb /= 2;
+            const std::size_t predecessor_descriptors = hot_restart_.predecessor_descriptors();
+            own_limits.sockets -=
+                std::min(own_limits.sockets,
+                         predecessor_descriptors > 0 ? predecessor_descriptors : own_limits.sockets / 2);
         }
-        const std::size_t most = per_side(share);
-        // With a successor that accepts, no more attempts are needed than there are clients, and a few that
-        // outlive theirs.
-        pool_.set_max_connections(hot_restart_.successor_serves() ? std::min(most, front_.size() + few)
-                                                                  : most);
-        front_.set_max_connections(most);
-        host_.set_max_bytes(config::message_memory(share));
+        const std::size_t max_connections = max_connections_per_side(own_limits);
+        // Once the successor accepts the new clients, this process needs no more attempts than it has
+        // clients, plus some that outlive their clients.
+        pool_.set_max_connections(hot_restart_.successor_serves()
+                                      ? std::min(max_connections, front_.size() + extra_attempts)
+                                      : max_connections);
+        front_.set_max_connections(max_connections);
+        host_.set_max_bytes(config::message_memory(own_limits));
     }
 
     const std::unordered_set<std::string>& message_ids() const override { return host_.ids(); }
@@ -158,32 +165,32 @@
         if (serving_ && !stopping_) front_.set_accepting(!serves);
     }
 
-    // What has changed since the former life counts as told from the first moment. So the module does not
-    // hear of the remembered list, and jobs wait, until discovery has said what is newer, or cannot.
-    void use_remembered() {
-        confirm_.disarm();
-        if (remembered_) host_.handle_worker_list(*std::exchange(remembered_, std::nullopt));
+    // Changes made while this scheduler was not running count as notified from its start. The remembered list
+    // is therefore withheld from the dispatcher, and jobs wait, until discovery has answered or failed.
+    void use_remembered_list() {
+        confirm_timer_.disarm();
+        if (remembered_list_) host_.handle_worker_list(*std::exchange(remembered_list_, std::nullopt));
     }
 
-    void on_list(willowrill::EndpointListUpdate news) {
-        // Where the module counts on news that come by themselves, it will not ask again.
-        const bool broken = news.kind == willowrill::EndpointListUpdate::Kind::broken;
-        if (!broken) fresh_.disarm();
-        use_remembered();
-        if (broken && !settings_.decisions.list_on_request)
-            watch_again_.arm(loop_.now() + watch_times_.reopen);
-        if (!news.entries.empty())
-            spdlog::info("inventory: version {} with {} entries", list_.version(), news.entries.size());
-        log_entries(news);
-        host_.handle_worker_list(std::move(news));
+    void on_list_update(willowrill::EndpointListUpdate update) {
+        // With pushed lists the dispatcher does not ask again after a failure, so the watch is reopened here.
+        const bool update_failed = update.kind == willowrill::EndpointListUpdate::Kind::broken;
+        if (!update_failed) fresh_list_timer_.disarm();
+        use_remembered_list();
+        if (update_failed && !settings_.decisions.list_on_request)
+            rewatch_timer_.arm(loop_.now() + watch_times_.reopen);
+        if (!update.entries.empty())
+            spdlog::info("inventory: version {} with {} entries", list_.version(), update.entries.size());
+        log_entries(update);
+        host_.handle_worker_list(std::move(update));
         pool_.close_unlisted();
     }
 
-    // Numbers of workers differ from one scheduler to the next: whoever joins their logs needs the names.
-    void log_entries(const willowrill::EndpointListUpdate& news) const {
+    // Worker numbers differ between schedulers; their logs can only be joined by the ids logged here.
+    void log_entries(const willowrill::EndpointListUpdate& update) const {
         if (!log::is_enabled(spdlog::level::debug)) return;
         constexpr std::array<std::string_view, 3> conditions{"ready", "draining", "gone"};
-        for (const willowrill::WorkerEntry& entry : news.entries) {
+        for (const willowrill::WorkerEntry& entry : update.entries) {
             const std::string_view kind = list_.names().kinds[entry.kind],
                                    zone = list_.names().zones[entry.zone],
                                    condition = conditions[static_cast<std::size_t>(entry.condition)];
@@ -204,57 +211,62 @@
             host_.run_batch(loop_.now());
             next = host_.next_batch_time();
         }
-        if (next) next_batch_.arm(*next);
-        if (!serving_ && !stopping_ && !list_.empty() && !fresh_.armed()) serve();
-        if (stopping_ && !leave_.armed() && front_.empty() && host_.open_messages() == 0) end();
+        if (next) batch_timer_.arm(*next);
+        if (!serving_ && !stopping_ && !list_.empty() && !fresh_list_timer_.armed()) start_serving();
+        if (stopping_ && !leave_timer_.armed() && front_.empty() && host_.open_messages() == 0) shut_down();
     }
 
-    // All messages have ended, and are counted: the other instances hear the last of it.
-    void end() {
-        if (std::exchange(ending_, true)) return;
+    // All messages have ended and are counted. The final counts are sent to the other instances before the
+    // loop ends.
+    void shut_down() {
+        if (std::exchange(shutting_down_, true)) return;
         if (!fleet_) return loop_.stop();
         fleet_->leave([this] { loop_.stop(); });
     }
 
-    // Takes both files over or neither. What the parts were built from stays until a restart.
+    // Applies both configuration files or neither. Settings used to construct the components stay until a
+    // restart.
     void reload() {
         ++reloads_;
         try {
-            // All that can turn one of them down comes before anything is taken over.
-            std::optional<operator_config::Site> site_now;
-            if (!site_.file.empty()) site_now = operator_config::read(site_.file);
-            config::Settings read = config::read([](const char* name) { return std::getenv(name); });
-            if (site_now && !may_take_over(*site_now)) return;
-            const config::Settings before = std::exchange(settings_in_file_, std::move(read));
-            const config::Settings& now = settings_in_file_;
+            // Everything that can reject a file precedes the first change.
+            std::optional<operator_config::Site> new_site;
+            if (!site_.file.empty()) new_site = operator_config::read(site_.file);
+            config::Settings read_settings = config::read([](const char* name) { return std::getenv(name); });
+            if (new_site && !can_apply_without_restart(*new_site)) return;
+            const config::Settings old_settings = std::exchange(latest_settings_, std::move(read_settings));
+            const config::Settings& new_settings = latest_settings_;
             share_limits();
-            if (now.file_discovery != before.file_discovery) watch_.move(now.file_discovery);
+            if (new_settings.file_discovery != old_settings.file_discovery)
+                watch_.move(new_settings.file_discovery);
             spdlog::info("configuration read again: discovery at {}, {} connections a side",
                          watch_.discovery().text(), front_.max_connections());
-            if (now.file_settings != before.file_settings || now.file_listen != before.file_listen ||
-                now.file_name != before.file_name || now.file_mgmt != before.file_mgmt)
-                spdlog::warn(
-                    "the configuration's name, listen, mgmt or settings differ: a restart takes them over");
-            if (site_now) take_over(std::move(*site_now));
+            if (new_settings.file_settings != old_settings.file_settings ||
+                new_settings.file_listen != old_settings.file_listen ||
+                new_settings.file_name != old_settings.file_name ||
+                new_settings.file_mgmt != old_settings.file_mgmt)
+                spdlog::warn("name, listen, mgmt or settings have changed in the configuration: they take "
+                             "effect after a restart");
+            if (new_site) apply_site(std::move(*new_site));
         } catch (const std::exception& error) {
             spdlog::error("the configuration stays as it was: {}", error.what());
         }
     }
 
-    bool may_take_over(const operator_config::Site& now) const {
-        std::string later;
-        for (const std::string& key : operator_config::needs_restart(site_, now))
-            later += (later.empty() ? "" : ", ") + key;
-        if (later.empty()) return true;
-        log::event(spdlog::level::warn, "site.needs_restart", {{"keys", later}},
-                   "the configuration stays as it was, as a restart is needed for: " + later);
+    bool can_apply_without_restart(const operator_config::Site& new_site) const {
+        std::string restart_keys;
+        for (const std::string& key : operator_config::needs_restart(site_, new_site))
+            restart_keys += (restart_keys.empty() ? "" : ", ") + key;
+        if (restart_keys.empty()) return true;
+        log::event(spdlog::level::warn, "site.needs_restart", {{"keys", restart_keys}},
+                   "the configuration stays as it was, as a restart is needed for: " + restart_keys);
         return false;
     }
 
-    void take_over(operator_config::Site now) {
-        if (!now.log.level.empty()) spdlog::set_level(spdlog::level::from_str(now.log.level));
-        if (fleet_) fleet_->apply_config(now);
-        site_ = std::move(now);
+    void apply_site(operator_config::Site new_site) {
+        if (!new_site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(new_site.log.level));
+        if (fleet_) fleet_->apply_config(new_site);
+        site_ = std::move(new_site);
         log::event(spdlog::level::info, "site.read_again", {{"file", site_.file}},
                    "operators' file read again");
     }
@@ -265,20 +277,21 @@
         if (std::exchange(stopping_, true)) return;
         spdlog::info("stopping: {} messages open", host_.open_messages());
         front_.drain();
-        net::Duration longest = 0ns;
+        net::Duration max_deadline = 0ns;
         for (const willowrill::JobClass& job_class : settings_.decisions.classes)
-            longest = std::max(longest, std::min<net::Duration>(job_class.give_up, longest_counted));
-        end_ = loop_.now() + longest + after_longest;
+            max_deadline =
+                std::max(max_deadline, std::min<net::Duration>(job_class.give_up, max_counted_deadline));
+        drain_deadline_ = loop_.now() + max_deadline + deadline_margin;
         if (hot_restart_.successor_serves()) {
-            front_.hand_over(end_);
+            front_.hand_over(drain_deadline_);
         } else {
-            leave_.arm(loop_.now() + accept_time);
+            leave_timer_.arm(loop_.now() + accept_window);
         }
-        finish_.arm(std::max(end_, loop_.now() + accept_time));
+        finish_timer_.arm(std::max(drain_deadline_, loop_.now() + accept_window));
     }
 
-    bool knows_workers() const { return !list_.empty() && !remembered_; }
-    bool is_ready() const override { return serving_ && knows_workers() && !stopping_; }
+    bool has_confirmed_workers() const { return !list_.empty() && !remembered_list_; }
+    bool is_ready() const override { return serving_ && has_confirmed_workers() && !stopping_; }
     void set_lame_duck(bool on) override { front_.set_lame_duck(on); }
     std::optional<Resource> resource(std::string_view path) const override {
         if (path == "/_counts") return Resource{"application/json", fleet_ ? fleet_->counts_json() : ""};
@@ -287,17 +300,17 @@
     }
     std::string extra_metrics() const override { return fleet_ ? fleet_->prometheus_text() : ""; }
     admin::Metrics metrics() const override {
-        admin::Metrics out{.classes = {},
-                           .attempts = pool_.counters().written,
-                           .in_flight = host_.open_messages(),
-                           .workers_known = list_.listed(),
-                           .workers_excluded = host_.workers_excluded(loop_.now())};
+        admin::Metrics metrics{.classes = {},
+                               .attempts = pool_.counters().written,
+                               .in_flight = host_.open_messages(),
+                               .workers_known = list_.listed(),
+                               .workers_excluded = host_.workers_excluded(loop_.now())};
         const std::vector<core::ClassTotals>& class_totals = host_.class_totals();
         for (std::size_t i = 0; i < class_totals.size(); ++i) {
-            out.classes.push_back({settings_.names.classes[i], class_totals[i].served,
-                                   class_totals[i].refused, class_totals[i].failed});
+            metrics.classes.push_back({settings_.names.classes[i], class_totals[i].served,
+                                       class_totals[i].refused, class_totals[i].failed});
         }
-        return out;
+        return metrics;
     }
 
     void print_counters() const {
@@ -337,9 +350,9 @@
                      host.batches, reloads_);
     }
 
-    const config::Settings settings_;   // as at the start; the parts refer to them
-    config::Settings settings_in_file_; // as last read
-    operator_config::Site site_;        // the operators' file, as last taken over
+    const config::Settings settings_;  // as of the start; the components refer to them
+    config::Settings latest_settings_; // as of the last reload
+    operator_config::Site site_;       // the operators' file as last applied
     net::Loop loop_;
     discovery_client::List list_;
     upstream::Pool pool_;
@@ -347,14 +360,14 @@
     discovery_client::Watch watch_;
     core::Host host_;
     frontend::Frontend front_;
-    net::Timer next_batch_, watch_again_, leave_, finish_, fresh_, confirm_;
-    std::optional<willowrill::EndpointListUpdate> remembered_; // until discovery's first word
-    net::Time end_{0};                                         // of what is taken in late
+    net::Timer batch_timer_, rewatch_timer_, leave_timer_, finish_timer_, fresh_list_timer_, confirm_timer_;
+    std::optional<willowrill::EndpointListUpdate> remembered_list_; // until discovery first answers or fails
+    net::Time drain_deadline_{0}; // for messages accepted during the shutdown
     net::SignalHandler signals_;
     hot_restart::HotRestart hot_restart_;
     std::optional<fleet::Fleet> fleet_;
     std::optional<admin::Server> admin_;
-    bool serving_ = false, stopping_ = false, ending_ = false;
+    bool serving_ = false, stopping_ = false, shutting_down_ = false;
     std::uint64_t reloads_ = 0;
 };
 
@@ -370,8 +383,8 @@
     bool check = false;
 };
 
-// Says in one line each what is wrong with the operators' file; 0 where it is good.
-int check(const std::string& file) {
+// Prints one line for each problem in the operators' file. Returns the exit code: 0 if there is none.
+int check_site_file(const std::string& file) {
     try {
         willowrill::operator_config::read(file);
         std::cout << file << ": good\n";
@@ -383,50 +396,50 @@
     }
 }
 
-int serve(const Options& options) {
+int run_scheduler(const Options& options) {
     namespace operator_config = willowrill::operator_config;
-    std::optional<willowrill::net::ScopedSignalBlock> held(std::in_place, {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
+    std::optional<willowrill::net::ScopedSignalBlock> blocked_signals(std::in_place,
+                                                                      {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
     auto settings = willowrill::config::read([](const char* name) { return std::getenv(name); });
-    operator_config::Site at_site =
+    operator_config::Site site =
         options.site_file.empty() ? operator_config::Site() : operator_config::read(options.site_file);
-    if (!at_site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(at_site.log.level));
-    spdlog::cfg::load_env_levels(); // SPDLOG_LEVEL=debug tells of every attempt, whatever the file says
-    const bool json = options.log_format.empty() ? at_site.log.format == operator_config::LogFormat::json
+    if (!site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(site.log.level));
+    spdlog::cfg::load_env_levels(); // SPDLOG_LEVEL overrides the file; at debug level every attempt is logged
+    const bool json = options.log_format.empty() ? site.log.format == operator_config::LogFormat::json
                                                  : options.log_format == "json";
-    if (json)
-        willowrill::log::configure_logging(true, at_site.instance.empty() ? settings.name : at_site.instance);
+    if (json) willowrill::log::configure_logging(true, site.instance.empty() ? settings.name : site.instance);
     auto handover_socket =
         willowrill::hot_restart::handover_socket_path(std::getenv("TMPDIR"), settings.listen);
     std::optional<willowrill::hot_restart::InheritedListener> inherited_listener;
     if (handover_socket)
         inherited_listener = willowrill::hot_restart::request_listener(*handover_socket, settings.listen,
-                                                                       willowrill::handover_time);
-    willowrill::Program program(std::move(settings), std::move(at_site), std::move(handover_socket),
+                                                                       willowrill::handover_timeout);
+    willowrill::Program program(std::move(settings), std::move(site), std::move(handover_socket),
                                 std::move(inherited_listener));
-    held.reset();
+    blocked_signals.reset();
     program.run();
     return 0;
 }
 
 } // namespace
 
-int main(int count, char** arguments) {
+int main(int argc, char** argv) {
     willowrill::log::configure_logging(false, "");
-    CLI::App app("willowrilld, a job scheduler. What the platform tells it comes from the environment\n"
-                 "(PROXY_CONFIG and others, see the README); without arguments it serves with that alone.");
+    CLI::App app("willowrilld, a job scheduler. The platform configures it by environment variables\n"
+                 "(PROXY_CONFIG and others, see the README); all command-line options are optional.");
     Options options;
     app.add_option("--config", options.site_file, "the operators' file (YAML, see deploy/willowrill.yaml)")
         ->option_text("FILE");
     app.add_option("--log-format", options.log_format,
-                   "text, or json: one object a line; goes before the file's")
+                   "text, or json with one object per line; overrides the operators' file")
         ->check(CLI::IsMember({"text", "json"}))
         ->option_text("text|json");
-    app.add_flag("--check", options.check, "read the operators' file, say what is wrong with it, and end")
+    app.add_flag("--check", options.check, "check the operators' file, print its problems and exit")
         ->needs("--config");
-    app.set_version_flag("--version", version, "print the version and end");
-    CLI11_PARSE(app, count, arguments);
+    app.set_version_flag("--version", version, "print the version and exit");
+    CLI11_PARSE(app, argc, argv);
     try {
-        return options.check ? check(options.site_file) : serve(options);
+        return options.check ? check_site_file(options.site_file) : run_scheduler(options);
     } catch (const std::exception& error) {
         std::cerr << "willowrill: " << error.what() << '\n';
         return 1;
