--- a/tests/scheduler/program/clock_jump_test.cpp
+++ b/tests/scheduler/program/clock_jump_test.cpp
@@ -1,5 +1,5 @@
-// The parts put together, after a pause of the process: how many rounds of the loop there are until it waits
-// again, with few and with many connections, at rest and with work under way.
+// The assembled components after a pause of the process (a jump of the clock): the number of rounds until the
+// event loop waits again, with few and with many connections, half of them with a job in progress.
 #include "support/rig.h"
 
 #include <doctest/doctest.h>
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr std::array<net::Duration, 3> pauses{5s, 40s, 300s};
-constexpr std::size_t few = 2, many = 150;
-// What a round closes is heard of in the next ones, by the other side as well, which stands on the same loop
-// here.
-constexpr int most_rounds = 12;
+constexpr std::size_t few_connections = 2, many_connections = 150;
+// A connection closed in one round causes events in the next ones, also at the peer, which runs on the same
+// loop in this test.
+constexpr int max_rounds = 12;
 
-// Rounds until the loop has waited for something that did not come.
+// The number of rounds until the loop has waited without an event.
 int rounds_until_wait(net::Loop& loop) {
     for (int round = 1; round <= 1000; ++round) {
         loop.run_once(20ms);
@@ -41,31 +41,31 @@
 
 } // namespace
 
-TEST_CASE("clock jump: the loop waits again within a few rounds, whatever the pause and the connections") {
-    for (const std::size_t connections : {few, many}) {
+TEST_CASE("clock jump: the loop waits again within a few rounds for any pause and number of connections") {
+    for (const std::size_t connections : {few_connections, many_connections}) {
         for (const net::Duration pause : pauses) {
             CAPTURE(connections);
             CAPTURE(pause.count());
             PausedRig paused(connections);
-            CHECK(paused.rounds_after(pause) <= most_rounds);
+            CHECK(paused.rounds_after(pause) <= max_rounds);
         }
     }
 }
 
-TEST_CASE("clock jump: one pause after the other does not add up") {
-    PausedRig paused(many);
-    for (int again = 0; again < 5; ++again)
-        CHECK(paused.rounds_after(40s) <= most_rounds);
+TEST_CASE("clock jump: repeated pauses do not accumulate work") {
+    PausedRig paused(many_connections);
+    for (int repetition = 0; repetition < 5; ++repetition)
+        CHECK(paused.rounds_after(40s) <= max_rounds);
 }
 
-TEST_CASE("clock jump: a client that comes after the pause is served") {
-    PausedRig paused(few);
+TEST_CASE("clock jump: a client that connects after the pause is served") {
+    PausedRig paused(few_connections);
     paused.rounds_after(300s);
-    const std::size_t before = paused.rig.worker.peers.size();
+    const std::size_t peers_before = paused.rig.worker.peers.size();
     const auto client = paused.rig.client(Rig::job("77"));
-    REQUIRE(paused.rig.settle([&] { return paused.rig.host.counters().admitted > few / 2; }));
+    REQUIRE(paused.rig.settle([&] { return paused.rig.host.counters().admitted > few_connections / 2; }));
     CHECK(paused.rig.settle(
-        [&] { return paused.rig.worker.peers.size() > before || client->has("HTTP/1.1 "); }));
+        [&] { return paused.rig.worker.peers.size() > peers_before || client->has("HTTP/1.1 "); }));
 }
 
 } // namespace willowrill::testing
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts that read texts: configuration, discovery's lists, workers' answers, clients' requests.
+// Parsers: the configuration, discovery's endpoint lists, workers' responses and clients' requests.
 #include "scheduler/config/settings.h"
 #include "scheduler/discovery_client/list.h"
 #include "scheduler/frontend/request.h"
@@ -37,17 +37,17 @@
    "connect_timeout_ns":250000000,"max_retry_after_ns":2000000000},
   "safety":{"ask_within_ns":10000000000}}})";
 
-const char* no_variable(const char*) { return nullptr; }
+const char* no_environment(const char*) { return nullptr; }
 
-config::Settings test_settings() { return config::parse(config_text, no_variable); }
+config::Settings test_settings() { return config::parse(config_text, no_environment); }
 
 namespace {
 
-std::string config_error(std::string from, std::string_view change, std::string_view to) {
-    const std::size_t at = from.find(change);
+std::string config_error(std::string text, std::string_view original, std::string_view replacement) {
+    const std::size_t at = text.find(original);
     REQUIRE(at != std::string::npos);
     try {
-        config::parse(from.replace(at, change.size(), to), no_variable);
+        config::parse(text.replace(at, original.size(), replacement), no_environment);
     } catch (const config::ConfigError& error) {
         return error.what();
     }
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("the configuration is read into the values used") {
+TEST_CASE("the configuration is parsed into settings") {
     const config::Settings settings = test_settings();
     CHECK(settings.name == "n3");
     CHECK(settings.discovery.text() == "127.0.0.1:2");
@@ -66,31 +66,31 @@
     CHECK(settings.connect_timeout == 250ms);
     REQUIRE(settings.report_fields.size() == 2);
     CHECK(settings.report_fields[0].wire == "util");
-    const willowrill::Settings& to = settings.decisions;
-    CHECK(to.seed == 0x8c1f30d27a5be964);
-    CHECK(to.self == 2);
-    CHECK(to.dispatchers == 3);
-    CHECK(to.zone == 1);
-    CHECK(to.tick == 5ms);
-    CHECK(to.list_on_request);
-    CHECK_FALSE(to.probes);
-    CHECK(to.reports_with_probes);
-    CHECK(to.takes_advice);
-    REQUIRE(to.classes.size() == 2);
-    CHECK(to.classes[0].effect == willowrill::Effect::once);
-    CHECK(to.classes[0].kind == willowrill::none);
-    CHECK(to.classes[1].repeat_scope == willowrill::RepeatScope::cell);
-    CHECK(to.classes[1].repeat_window == 40s);
-    CHECK(to.classes[1].aim_stretch == 2);
-    CHECK(to.classes[1].kind == 0);
+    const willowrill::Settings& decisions = settings.decisions;
+    CHECK(decisions.seed == 0x8c1f30d27a5be964);
+    CHECK(decisions.self == 2);
+    CHECK(decisions.dispatchers == 3);
+    CHECK(decisions.zone == 1);
+    CHECK(decisions.tick == 5ms);
+    CHECK(decisions.list_on_request);
+    CHECK_FALSE(decisions.probes);
+    CHECK(decisions.reports_with_probes);
+    CHECK(decisions.takes_advice);
+    REQUIRE(decisions.classes.size() == 2);
+    CHECK(decisions.classes[0].effect == willowrill::Effect::once);
+    CHECK(decisions.classes[0].kind == willowrill::none);
+    CHECK(decisions.classes[1].repeat_scope == willowrill::RepeatScope::cell);
+    CHECK(decisions.classes[1].repeat_window == 40s);
+    CHECK(decisions.classes[1].aim_stretch == 2);
+    CHECK(decisions.classes[1].kind == 0);
 }
 
-TEST_CASE("settings of probes and reports that contradict one another are served under, with a remark") {
+TEST_CASE("contradictory settings of probes and reports are accepted with a remark") {
     const auto remarks = [](const std::string& via, bool probes) {
         std::string text = config_text;
         text.replace(text.find("piggyback"), 9, via);
         if (probes) text.replace(text.find("\"cancel\""), 0, "\"probes\":true,");
-        return config::parse(text, no_variable).remarks;
+        return config::parse(text, no_environment).remarks;
     };
     CHECK(remarks("piggyback", false).empty());
     CHECK(remarks("piggyback", true).empty());
@@ -107,8 +107,8 @@
     settings.sockets = 1024;
     settings.memory_mb = 192;
     CHECK(config::connections_per_side(settings, 4096) == 496);
-    CHECK(config::connections_per_side(settings, 232) == 100); // the process is allowed less
-    // The smallest place: the memory holds all that its descriptors allow, and ordinary messages beside it.
+    CHECK(config::connections_per_side(settings, 232) == 100); // the limit of the process is lower
+    // The smallest deployment: the memory suffices for all connections and for messages of ordinary size.
     settings.memory_mb = 32;
     settings.sockets = 256;
     CHECK(config::connections_per_side(settings, 4096) == 112);
@@ -119,7 +119,7 @@
     CHECK(config::connections_per_side(settings, 0) == 1);
 }
 
-TEST_CASE("the environment goes before the file, and a bad start is told in one line") {
+TEST_CASE("environment variables override the file, and an invalid configuration is reported in one line") {
     const auto with_name = [](const char* name) -> const char* {
         return std::string_view(name) == "PROXY_NAME" ? "n9" : nullptr;
     };
@@ -128,61 +128,64 @@
         return std::string_view(name) == "PROXY_LISTEN" ? "somewhere" : nullptr;
     };
     CHECK_THROWS_AS(config::parse(config_text, with_address), config::ConfigError);
-    CHECK_THROWS_AS(config::read(no_variable), config::ConfigError);
+    CHECK_THROWS_AS(config::read(no_environment), config::ConfigError);
     CHECK_THROWS_AS(config::read([](const char*) { return "/nowhere/at/all"; }), config::ConfigError);
-    CHECK_THROWS_AS(config::parse("{", no_variable), config::ConfigError);
-    CHECK_THROWS_AS(config::parse("[]", no_variable), config::ConfigError);
-    for (const auto& [change, to] : {std::pair{"\"127.0.0.1:2\"", "\"127.0.0.1:99999\""},
-                                     {"\"settings\"", "\"sets\""},
-                                     {"non_idempotent", "odd"},
-                                     {"5000000,", "\"5\","},
-                                     {"5000000,", "-5,"},
-                                     {"8c1f30d27a5be964", "xyz"},
-                                     {"conn_idle_ns", "idle"},
-                                     {"\"classes\"", "\"lessons\""},
-                                     // Negative, overflowing, broken or of the wrong type.
-                                     {"\"balancers\":3", "\"balancers\":4294967296"},
-                                     {"\"balancers\":3", "\"balancers\":2.5"},
-                                     {"\"balancers\":3", "\"balancers\":NaN"},
-                                     {"\"balancers\":3", "\"balancers\":1e999"},
-                                     {"\"balancers\":3", "\"balancers\":true"},
-                                     {"\"memory_mb\":100", "\"memory_mb\":9e15"},
-                                     {"\"memory_mb\":100", "\"memory_mb\":0"},
-                                     {"\"sockets\":200", "\"sockets\":-200"},
-                                     {"5000000,", "5e15,"},
-                                     {"[1.75,2]", "[1.75,-2]"},
-                                     {"[1.75,2]", "[1.75,\"2\"]"},
-                                     {"\"max_attempts\":4", "\"max_attempts\":0"},
-                                     {"25000000000}]", "0}]"},
-                                     // Contradictions: a place, a kind or a name that is not there, or twice.
-                                     {"\"slot_no\":2", "\"slot_no\":3"},
-                                     {"[-1,0]", "[-1,2]"},
-                                     {"[-1,0]", "[-1,4294967296]"},
-                                     {"[-1,0]", "[-1,0.5]"},
-                                     {"\"name\":\"keyed\"", "\"name\":\"once\""},
-                                     {"\"sockets\":200", "\"sockets\":200,\"sockets\":300"},
-                                     {"\"cancel\":true", "\"cancel\":true,\"cancel\":false"}}) {
-        CAPTURE(change);
-        CAPTURE(to);
-        const std::string error = config_error(config_text, change, to);
+    CHECK_THROWS_AS(config::parse("{", no_environment), config::ConfigError);
+    CHECK_THROWS_AS(config::parse("[]", no_environment), config::ConfigError);
+    for (const auto& [original, replacement] :
+         {std::pair{"\"127.0.0.1:2\"", "\"127.0.0.1:99999\""},
+          {"\"settings\"", "\"sets\""},
+          {"non_idempotent", "odd"},
+          {"5000000,", "\"5\","},
+          {"5000000,", "-5,"},
+          {"8c1f30d27a5be964", "xyz"},
+          {"conn_idle_ns", "idle"},
+          {"\"classes\"", "\"lessons\""},
+          // Negative, overflowing, fractional or of the wrong type.
+          {"\"balancers\":3", "\"balancers\":4294967296"},
+          {"\"balancers\":3", "\"balancers\":2.5"},
+          {"\"balancers\":3", "\"balancers\":NaN"},
+          {"\"balancers\":3", "\"balancers\":1e999"},
+          {"\"balancers\":3", "\"balancers\":true"},
+          {"\"memory_mb\":100", "\"memory_mb\":9e15"},
+          {"\"memory_mb\":100", "\"memory_mb\":0"},
+          {"\"sockets\":200", "\"sockets\":-200"},
+          {"5000000,", "5e15,"},
+          {"[1.75,2]", "[1.75,-2]"},
+          {"[1.75,2]", "[1.75,\"2\"]"},
+          {"\"max_attempts\":4", "\"max_attempts\":0"},
+          {"25000000000}]", "0}]"},
+          // Contradictions: an index or kind out of range, or a duplicate name.
+          {"\"slot_no\":2", "\"slot_no\":3"},
+          {"[-1,0]", "[-1,2]"},
+          {"[-1,0]", "[-1,4294967296]"},
+          {"[-1,0]", "[-1,0.5]"},
+          {"\"name\":\"keyed\"", "\"name\":\"once\""},
+          {"\"sockets\":200", "\"sockets\":200,\"sockets\":300"},
+          {"\"cancel\":true", "\"cancel\":true,\"cancel\":false"}}) {
+        CAPTURE(original);
+        CAPTURE(replacement);
+        const std::string error = config_error(config_text, original, replacement);
         CHECK_FALSE(error.empty());
         CHECK(error.find('\n') == std::string::npos);
     }
 }
 
-// Property 8's first half: a file is taken whole or not at all, and what is taken harms no module.
-TEST_CASE("properties: a configuration with numbers changed is refused in one line or good for the module") {
-    int taken = 0, refused = 0;
+// Property 8, first half: a file is accepted as a whole or not at all, and an accepted one is valid input for
+// the dispatcher.
+TEST_CASE(
+    "properties: a configuration with changed numbers is refused in one line or valid for the dispatcher") {
+    int accepted = 0, refused = 0;
     check_property(
         "configuration", 3000,
         [&] {
-            // Numbers, from the last on, so that the places before stay where they are.
+            // Replaces numbers from the last to the first, so that earlier positions stay valid.
             const auto edits = *rc::gen::container<std::map<std::size_t, std::string>>(
                 rc::gen::resize(100, rc::gen::inRange<std::size_t>(0, 80)),
                 rc::gen::element<std::string>("-1", "0", "1", "7", "2.5", "4294967296", "9e15", "1e300",
                                               "1e999", "null", "true", "\"x\"", "[]", "{", ""));
             std::string text = config_text;
-            text.insert(text.find("\"window_ns\""), "\"aim_ns\":2000000000,"); // both classes wait
+            text.insert(text.find("\"window_ns\""), "\"aim_ns\":2000000000,"); // both classes may wait
             for (auto edit = edits.rbegin(); edit != edits.rend(); ++edit) {
                 std::size_t at = 0, size = 0;
                 for (std::size_t n = 0; n <= edit->first; ++n) {
@@ -191,17 +194,17 @@
                 }
                 text.replace(at, size, edit->second);
             }
-            std::optional<config::Settings> read;
+            std::optional<config::Settings> parsed;
             try {
-                read = config::parse(text, no_variable);
+                parsed = config::parse(text, no_environment);
             } catch (const config::ConfigError& error) {
                 ++refused;
                 RC_ASSERT(std::string_view(error.what()).find('\n') == std::string_view::npos);
                 return;
             }
-            ++taken;
-            const willowrill::Settings& settings = read->decisions;
-            RC_ASSERT(settings.classes.size() == read->names.classes.size());
+            ++accepted;
+            const willowrill::Settings& settings = parsed->decisions;
+            RC_ASSERT(settings.classes.size() == parsed->names.classes.size());
             RC_ASSERT(settings.self < settings.dispatchers);
             willowrill::Dispatcher dispatcher(settings);
             std::vector<willowrill::Event> events{
@@ -211,7 +214,7 @@
             std::vector<willowrill::Action> actions;
             dispatcher.handle(1s, events, actions);
             dispatcher.handle(3s, {}, actions);
-            // Each was answered or sent, and those sent are out of time by now.
+            // Each job has been answered; those that were sent have exceeded their deadline by now.
             for (willowrill::JobId job = 0; job < settings.classes.size(); ++job)
                 RC_ASSERT(std::ranges::any_of(actions, [&](const willowrill::Action& action) {
                     const auto* refuse = std::get_if<willowrill::Refuse>(&action);
@@ -220,49 +223,52 @@
                 }));
         },
         4);
-    CHECK(taken > 300);
+    CHECK(accepted > 300);
     CHECK(refused > 300);
 }
 
-// Whatever stands at the path: one clear line, and neither a wait nor a full memory.
-TEST_CASE("configuration files that are none are refused with their reason; a cut one is never read") {
+// Whatever the path refers to is rejected in one line, without blocking and without reading it all into
+// memory.
+TEST_CASE(
+    "paths that are not a configuration file are refused with a reason; a truncated file is never accepted") {
     std::string folder = "/tmp/willowrill-config-XXXXXX";
     REQUIRE(::mkdtemp(folder.data()) != nullptr);
     const std::string path = folder + "/config.json", pipe = folder + "/pipe";
     REQUIRE(::mkfifo(pipe.c_str(), 0600) == 0);
-    const auto error = [](const std::string& from) -> std::string {
-        const auto only = [&](const char* name) {
-            return std::string_view(name) == "PROXY_CONFIG" ? from.c_str() : nullptr;
+    const auto error = [](const std::string& candidate) -> std::string {
+        const auto environment = [&](const char* name) {
+            return std::string_view(name) == "PROXY_CONFIG" ? candidate.c_str() : nullptr;
         };
         try {
-            config::read(only);
+            config::read(environment);
         } catch (const config::ConfigError& found) {
             return found.what();
         }
         return "";
     };
     const auto write = [&](std::string_view text) { std::ofstream(path, std::ios::binary) << text; };
-    const auto says = [](const std::string& text, std::string_view words) {
+    const auto has_reason = [](const std::string& text, std::string_view words) {
         return text.find(words) != std::string::npos && text.find('\n') == std::string::npos;
     };
-    CHECK(says(error(folder), "it is a folder"));
-    CHECK(says(error(pipe), "it is no file"));
-    CHECK(says(error("/dev/zero"), "it is no file"));
-    CHECK(says(error(folder + "/none"), "No such file"));
+    CHECK(has_reason(error(folder), "it is a folder"));
+    CHECK(has_reason(error(pipe), "it is no file"));
+    CHECK(has_reason(error("/dev/zero"), "it is no file"));
+    CHECK(has_reason(error(folder + "/none"), "No such file"));
     write("");
-    CHECK(says(error(path), "is empty"));
+    CHECK(has_reason(error(path), "is empty"));
     write("{}" + std::string(17U << 20U, ' '));
-    CHECK(says(error(path), "holds more than"));
+    CHECK(has_reason(error(path), "holds more than"));
     write(config_text);
     CHECK(error(path).empty());
     for (std::size_t size = 1; size < config_text.size(); ++size) {
         CAPTURE(size);
-        CHECK_THROWS_AS(config::parse(config_text.substr(0, size), no_variable), config::ConfigError);
+        CHECK_THROWS_AS(config::parse(config_text.substr(0, size), no_environment), config::ConfigError);
     }
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("discovery's lists: whole ones replace, changes apply, nonsense changes nothing") {
+TEST_CASE(
+    "discovery's lists: full ones replace the list, changes are applied, malformed ones change nothing") {
     discovery_client::List list(test_settings().names);
     const auto entry = [](const std::string& id, const std::string& state, const std::string& port = "5000") {
         return R"({"id":")" + id + R"(","addr":"127.0.0.1:)" + port +
@@ -274,16 +280,16 @@
                          ",\"full\":" + (full ? "true" : "false") + ",\"servers\":[" + entries + "]}");
     };
     CHECK(list.empty());
-    auto news = read(41, true, entry("s1", "up") + "," + entry("s2", "draining"));
-    REQUIRE(news);
-    CHECK(news->kind == EndpointListUpdate::Kind::complete);
-    REQUIRE(news->entries.size() == 2);
-    CHECK(news->entries[0].up_since == 1700000000123ms);
-    CHECK(news->entries[0].kind == 1);
-    CHECK(news->entries[0].cell == 3);
-    CHECK(news->entries[0].weight == 1.5);
-    CHECK(news->entries[0].key != news->entries[1].key);
-    CHECK(news->entries[1].condition == Condition::draining);
+    auto update = read(41, true, entry("s1", "up") + "," + entry("s2", "draining"));
+    REQUIRE(update);
+    CHECK(update->kind == EndpointListUpdate::Kind::complete);
+    REQUIRE(update->entries.size() == 2);
+    CHECK(update->entries[0].up_since == 1700000000123ms);
+    CHECK(update->entries[0].kind == 1);
+    CHECK(update->entries[0].cell == 3);
+    CHECK(update->entries[0].weight == 1.5);
+    CHECK(update->entries[0].key != update->entries[1].key);
+    CHECK(update->entries[1].condition == Condition::draining);
     CHECK(list.version() == 41);
 
     for (const char* nonsense : {"", "{}", "[]", "{\"version\":42,\"full\":true,\"servers\":[{}]}",
@@ -294,31 +300,31 @@
     CHECK_FALSE(read(42, true, entry("s3", "up", "x")));
     CHECK(list.version() == 41);
     CHECK(list.condition(0) == Condition::ready);
-    // A start beyond what a clock can tell, and names that only nonsense holds.
-    std::string far = entry("s3", "up");
-    far.replace(far.find("1700000000123"), 13, "9223372036854775807");
-    CHECK_FALSE(read(42, true, far));
-    std::string foreign = entry("s3", "up");
-    foreign.replace(foreign.find("m2"), 2, "m9");
+    // A start time that overflows the clock, and new names that occur only in a malformed list.
+    std::string overflowing = entry("s3", "up");
+    overflowing.replace(overflowing.find("1700000000123"), 13, "9223372036854775807");
+    CHECK_FALSE(read(42, true, overflowing));
+    std::string unknown_kind = entry("s3", "up");
+    unknown_kind.replace(unknown_kind.find("m2"), 2, "m9");
     const std::size_t kinds = list.names().kinds.size();
-    CHECK_FALSE(read(42, true, foreign + ",{}"));
+    CHECK_FALSE(read(42, true, unknown_kind + ",{}"));
     CHECK(list.names().kinds.size() == kinds);
 
-    news = read(43, false, entry("s1", "draining", "5001") + R"(,{"id":"s2","state":"removed"})");
-    REQUIRE(news);
-    CHECK(news->kind == EndpointListUpdate::Kind::changes);
-    CHECK(news->entries[1].condition == Condition::gone);
+    update = read(43, false, entry("s1", "draining", "5001") + R"(,{"id":"s2","state":"removed"})");
+    REQUIRE(update);
+    CHECK(update->kind == EndpointListUpdate::Kind::changes);
+    CHECK(update->entries[1].condition == Condition::gone);
     CHECK(list.condition(0) == Condition::draining);
     CHECK(list.address(0).text() == "127.0.0.1:5001");
-    CHECK(list.address(1).text() == "127.0.0.1:5000"); // as it was
+    CHECK(list.address(1).text() == "127.0.0.1:5000"); // unchanged
 
-    news = read(44, true, entry("s9", "up"));
-    REQUIRE(news);
-    CHECK(news->entries[0].worker == 2); // a worker keeps its id for good
+    update = read(44, true, entry("s9", "up"));
+    REQUIRE(update);
+    CHECK(update->entries[0].worker == 2); // the number of a worker is never reused
     CHECK(list.condition(0) == Condition::gone);
 }
 
-TEST_CASE("workers' answers mean what the protocol's table says") {
+TEST_CASE("workers' responses map to outcomes as the protocol specifies") {
     const auto fields = test_settings().report_fields;
     upstream::ResponseReader reader(fields);
     std::vector<upstream::ProgressNote> notes;
@@ -344,7 +350,7 @@
     REQUIRE(done->report);
     CHECK(done->report->utilisation == 0.5);
     CHECK(done->report->free_slots == 3.0);
-    CHECK_FALSE(done->report->service_ms.has_value()); // not named by the settings
+    CHECK_FALSE(done->report->service_ms.has_value()); // not among the configured fields
 
     CHECK(outcome(R"("state":"failed")") == Outcome::error);
     CHECK(outcome(R"("state":"returned")") == Outcome::full);
@@ -363,15 +369,15 @@
     REQUIRE(notes.size() == 2);
     CHECK(notes[0].started);
     CHECK(notes[1].share == 0.4);
-    CHECK_FALSE(line(R"("state":"done","result":"cut)")); // more may come
+    CHECK_FALSE(line(R"("state":"done","result":"cut)")); // the response may continue
     CHECK(line(R"("state":"started"})"
                "\n",
                true)
               .value()
-              .outcome == Outcome::reset); // no more comes
+              .outcome == Outcome::reset); // the response has ended
     CHECK(line(R"("state":"done","result":"x"})", true).value().outcome == Outcome::served);
 
-    // A report in the head is as old as the job.
+    // A report in the header was made before the job ran, and is ignored.
     CHECK_FALSE(
         read("HTTP/1.1 200 OK\r\nX-Server-Load: util=0.9\r\n\r\n{\"id\":\"a\",\"state\":\"failed\"}\n")
             ->report);
@@ -379,28 +385,28 @@
     const auto status = [&](const std::string& start, const std::string& head = "") {
         return read("HTTP/1.1 " + start + "\r\n" + head + "Content-Length: 0\r\n\r\n").value();
     };
-    const std::string unseen = "X-Not-Processed: 1\r\n";
+    const std::string not_processed = "X-Not-Processed: 1\r\n";
     CHECK(status("500 x").outcome == Outcome::error);
-    CHECK(status("503 x").outcome == Outcome::error); // it may have run
-    CHECK(status("503 x", unseen).outcome == Outcome::full);
-    CHECK(status("504 x", unseen).outcome == Outcome::full);
-    CHECK(status("500 x", unseen).outcome == Outcome::error);
+    CHECK(status("503 x").outcome == Outcome::error); // the job may have run
+    CHECK(status("503 x", not_processed).outcome == Outcome::full);
+    CHECK(status("504 x", not_processed).outcome == Outcome::full);
+    CHECK(status("500 x", not_processed).outcome == Outcome::error);
     CHECK(status("404 x").outcome == Outcome::error);
-    const auto loaded = status("503 x", unseen + "X-Server-Load: util=0.61, x0=2,inflight=7,bad\r\n");
+    const auto loaded = status("503 x", not_processed + "X-Server-Load: util=0.61, x0=2,inflight=7,bad\r\n");
     REQUIRE(loaded.report);
     CHECK(loaded.report->utilisation == 0.61);
     CHECK(loaded.report->free_slots == 2.0);
     CHECK_FALSE(loaded.report->in_flight.has_value());
-    // Figures that cannot be are left out, and the others hold.
-    const auto odd = status("503 x", unseen + "X-Server-Load: util=-1,x0=1e300\r\n");
+    // Values out of range are ignored, and the others are used.
+    const auto odd = status("503 x", not_processed + "X-Server-Load: util=-1,x0=1e300\r\n");
     CHECK_FALSE(odd.report);
-    CHECK(status("503 x", unseen + "X-Server-Load: util=1e7,x0=2\r\n").report->free_slots == 2.0);
+    CHECK(status("503 x", not_processed + "X-Server-Load: util=1e7,x0=2\r\n").report->free_slots == 2.0);
     CHECK_FALSE(line(R"("state":"failed","load":{"util":-0.5,"x0":1e12}})"
                      "\n")
                     ->report);
 }
 
-TEST_CASE("the answer to a probe holds a load report, in whichever form, or none") {
+TEST_CASE("the response to a probe holds a load report in one of three forms, or none") {
     const config::Settings settings = test_settings(); // its fields: load_share, x0
     const upstream::ResponseReader reader(settings.report_fields);
     const auto read = [&](int status, const std::string& body, const net::http::Fields& fields = {}) {
@@ -424,7 +430,7 @@
     CHECK_FALSE(read(503, R"({"util":0.61})"));
 }
 
-TEST_CASE("clients' requests become messages, or are turned down as bad") {
+TEST_CASE("clients' requests become messages or are rejected with status 400") {
     const config::Settings settings = test_settings();
     core::Message message;
     frontend::Rejection rejection;
@@ -449,13 +455,13 @@
     CHECK(message.is_retry);
     CHECK(message.slots == 4);
     REQUIRE(read(once));
-    CHECK(message.deadline == 105s); // the class's own time
+    CHECK(message.deadline == 105s); // the deadline of the class
     CHECK_FALSE(message.is_retry);
     CHECK(message.hint == 0ns);
     REQUIRE(read(once + "X-Cost: 340000\r\n"));
     CHECK(message.hint == 340ms);
-    for (const char* none : {"0", "-5", "1e300", "soon", ""}) { // no estimate, but a job all the same
-        REQUIRE(read(once + "X-Cost: " + none + "\r\n"));
+    for (const char* invalid : {"0", "-5", "1e300", "soon", ""}) { // no estimate, but accepted
+        REQUIRE(read(once + "X-Cost: " + invalid + "\r\n"));
         CHECK(message.hint == 0ns);
     }
     for (const std::string& bad :
--- a/tests/scheduler/program/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -1,11 +1,11 @@
-// The parts put together on loopback, with clients, a worker and discovery played by the tests.
+// The assembled components on loopback, with clients, a worker and discovery simulated by the tests.
 #include "support/rig.h"
 
 #include <doctest/doctest.h>
 
 namespace willowrill::testing {
 
-TEST_CASE("a connection that never comes up proves that the job never ran") {
+TEST_CASE("a connection that is never established proves that the job never ran") {
     const Deaf deaf;
     Rig rig;
     rig.host.handle_worker_list(*rig.list.read(Rig::list_text(42, deaf.address)));
@@ -16,13 +16,13 @@
     CHECK(rig.pool.size() == 0);
 }
 
-TEST_CASE("discovery that cannot be reached is a failed call") {
+TEST_CASE("unreachable discovery counts as a failed call") {
     Rig rig;
-    const net::Endpoint nobody = Listener(rig.loop).address;
+    const net::Endpoint unreachable = Listener(rig.loop).address;
     int broken = 0;
-    discovery_client::Watch watch(rig.loop, nobody, discovery_client::watch_times(10s, 1s), 1, rig.list,
-                                  [&](const auto& news) {
-                                      CHECK(news.kind == willowrill::EndpointListUpdate::Kind::broken);
+    discovery_client::Watch watch(rig.loop, unreachable, discovery_client::watch_times(10s, 1s), 1, rig.list,
+                                  [&](const auto& update) {
+                                      CHECK(update.kind == willowrill::EndpointListUpdate::Kind::broken);
                                       ++broken;
                                   });
     watch.watch(true);
@@ -31,53 +31,54 @@
     CHECK(watch.silences() == 0);
 }
 
-// A held call was given up 1.5 s after a hold as long as the list is valid, 11.5 s in all, and only then was
-// discovery asked anew; what it has to tell counts as told after 6 s.
+// Guards against waiting out a silent call before the next one: a hold as long as the list is valid plus 1.5
+// s makes 11.5 s, but changes count as notified 6 s after the watch fell silent.
 TEST_CASE(
-    "discovery that has fallen silent is asked beside the call that is out, and the first answer counts") {
+    "a silent discovery is asked again while the first call is pending, and the first response counts") {
     Rig rig;
-    int news_of_drain = 0, broken = 0;
+    int drain_updates = 0, broken = 0;
     discovery_client::WatchTimes times = discovery_client::watch_times(10s, 1s);
     times.hold = 4ms;
     times.late = 10ms;
-    discovery_client::Watch watch(rig.loop, rig.discovery.address, times, 1, rig.list, [&](const auto& news) {
-        broken += news.kind == willowrill::EndpointListUpdate::Kind::broken ? 1 : 0;
-        for (const auto& entry : news.entries)
-            news_of_drain += entry.condition == willowrill::Condition::draining ? 1 : 0;
-    });
+    discovery_client::Watch watch(
+        rig.loop, rig.discovery.address, times, 1, rig.list, [&](const auto& update) {
+            broken += update.kind == willowrill::EndpointListUpdate::Kind::broken ? 1 : 0;
+            for (const auto& entry : update.entries)
+                drain_updates += entry.condition == willowrill::Condition::draining ? 1 : 0;
+        });
     watch.watch(true);
-    watch.watch(true); // a wish repeated while a call is out makes no other
-    const auto asked = [&](std::size_t call, std::string_view text) {
+    watch.watch(true); // no second call while one is pending
+    const auto requested = [&](std::size_t call, std::string_view text) {
         return rig.settle(
             [&] { return rig.discovery.peers.size() > call && rig.discovery.peers[call]->has(text); });
     };
-    REQUIRE(asked(0, "?from=41&hold_ms="));   // stays silent, and open
-    REQUIRE(asked(1, "?from=41&hold_ms=1 ")); // no wait: an answer is owed at once
+    REQUIRE(requested(0, "?from=41&hold_ms="));   // gets no response, and stays open
+    REQUIRE(requested(1, "?from=41&hold_ms=1 ")); // a short hold: the response is due at once
     CHECK_FALSE(rig.discovery.peers[0]->closed);
     CHECK(watch.silences() == 1);
     std::string list = rig.list_text(43);
     list.replace(list.find("\"up\""), 4, "\"draining\"");
     rig.discovery.peers[1]->got.clear();
     rig.discovery.peers[1]->connection.write(net::http::write_response(200, {}, list));
-    CHECK(rig.settle([&] { return news_of_drain == 1; }));
-    CHECK(asked(1, "?from=43&hold_ms=")); // the watch goes on where it was answered
+    CHECK(rig.settle([&] { return drain_updates == 1; }));
+    CHECK(requested(1, "?from=43&hold_ms=")); // the watch continues on the connection that answered
     CHECK(rig.settle([&] { return rig.discovery.peers[0]->closed; }));
     CHECK(broken == 0);
 }
 
-TEST_CASE("what discovery may be silent for adds up to less than what counts as told, for all settings") {
-    for (const auto valid : {0s, 1s, 2s, 10s, 60s}) {
-        for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const discovery_client::WatchTimes times = discovery_client::watch_times(valid, grace);
+TEST_CASE("the tolerated silence of discovery does not exceed the notification limit for any settings") {
+    for (const auto list_valid : {0s, 1s, 2s, 10s, 60s}) {
+        for (const auto drain_grace : {50ms, 300ms, 1000ms, 5000ms}) {
+            const discovery_client::WatchTimes times = discovery_client::watch_times(list_valid, drain_grace);
             CHECK(times.hold > 0ns);
-            CHECK(times.reopen <= grace);
-            // Two calls, the first of them lost as well, each with a second for its answer.
-            CHECK(times.heard_by(2, times.open + 1s) <= times.allowed(grace));
+            CHECK(times.reopen <= drain_grace);
+            // Two calls of which the first is lost, each with one second for its response.
+            CHECK(times.heard_by(2, times.open + 1s) <= times.allowed(drain_grace));
         }
     }
 }
 
-TEST_CASE("a job goes to the worker and its result comes back, over connections that are kept") {
+TEST_CASE("a job is sent to the worker and its result returned over kept-alive connections") {
     Rig rig;
     const std::string job = Rig::job("a");
     const auto client = rig.client(job.substr(0, 30));
@@ -89,16 +90,18 @@
     CHECK(worker.has("X-Request-ID: a\r\n"));
     worker.connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     worker.connection.write("2d\r\n{\"id\":\"a\",\"state\":\"done\",\"result\":\"x\\\"y\\nz\"}\n");
-    CHECK(rig.settle([&] { return client->has("\r\n\r\nx\"y\nz"); })); // not held back by the answer's end
+    CHECK(rig.settle(
+        [&] { return client->has("\r\n\r\nx\"y\nz"); })); // sent before the worker's response has ended
     CHECK(client->has("HTTP/1.1 200 OK\r\n"));
     worker.connection.write("\r\n0\r\n\r\n");
     rig.settle([&] { return rig.host.attempts_in_flight() == 0; });
-    rig.wait(30ms);                                          // the answer's end arrives
-    client->connection.write(Rig::job("b") + Rig::job("c")); // one after the other, in order
+    rig.wait(30ms);                                          // the end of the response arrives
+    client->connection.write(Rig::job("b") + Rig::job("c")); // pipelined, processed in order
     REQUIRE(rig.worker_has(0, "X-Request-ID: b"));
     CHECK_FALSE(worker.has("X-Request-ID: c"));
     worker.connection.write(Rig::done("b", "of b"));
-    // `b` has only just come back, and a job that must not run twice does not go where more may still come.
+    // The connection of `b` has only just become idle and may still receive data; a job that must not run
+    // twice is not sent on it.
     REQUIRE(rig.worker_has(1, "X-Request-ID: c"));
     CHECK_FALSE(worker.has("X-Request-ID: c"));
     rig.worker.peers[1]->connection.write(Rig::done("c", "of c"));
@@ -109,7 +112,7 @@
     CHECK(rig.front.counters().accepted == 1);
 }
 
-TEST_CASE("a connection that the worker has closed is not written to") {
+TEST_CASE("a connection closed by the worker is not reused") {
     Rig rig;
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
@@ -122,44 +125,44 @@
     CHECK(rig.host.counters().outcomes[static_cast<std::size_t>(willowrill::Outcome::reset)] == 0);
 }
 
-TEST_CASE("a probe asks on a kept connection, and whatever comes back is told once and counted") {
+TEST_CASE("a probe reuses a kept-alive connection, and its result is reported once and counted") {
     Rig rig;
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     rig.worker.peers[0]->connection.write(Rig::done("a", "1"));
     rig.settle([&] { return client->has("\r\n\r\n1"); });
     rig.wait(30ms);
-    const upstream::PoolCounters& counted = rig.pool.counters();
-    const auto answered = [&](const std::string& text, const std::uint64_t& counter) {
-        const std::size_t asked = counted.probes;
+    const upstream::PoolCounters& counters = rig.pool.counters();
+    const auto is_counted = [&](const std::string& text, const std::uint64_t& counter) {
+        const std::size_t probes_before = counters.probes;
         rig.worker.peers.back()->got.clear();
         rig.pool.probe(0);
-        CHECK(counted.probes == asked + 1);
+        CHECK(counters.probes == probes_before + 1);
         REQUIRE(rig.settle([&] { return rig.worker.peers.back()->has("GET /status/load HTTP/1.1\r\n"); }));
         rig.worker.peers.back()->connection.write(text);
         return rig.settle([&] { return counter == 1; });
     };
-    CHECK(answered(net::http::write_response(200, {}, R"({"util":0.5,"x0":2})"), counted.probe_reports));
-    CHECK(answered(net::http::write_response(503, {}, ""), counted.probe_error_statuses));
-    CHECK(rig.worker.peers.size() == 1); // all on the connection that the job left
-    CHECK(answered("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counted.probe_malformed));
-    CHECK(rig.pool.size() == 0); // a body that would never end is not read
-    // Silence is late, and a break is lost; neither is told twice.
+    CHECK(is_counted(net::http::write_response(200, {}, R"({"util":0.5,"x0":2})"), counters.told));
+    CHECK(is_counted(net::http::write_response(503, {}, ""), counters.unwilling));
+    CHECK(rig.worker.peers.size() == 1); // all on the connection of the job
+    CHECK(is_counted("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counters.nonsense));
+    CHECK(rig.pool.size() == 0); // an oversized body is not read
+    // No response counts as late, a closed connection as lost; neither is reported twice.
     rig.pool.probe(0);
-    CHECK(rig.settle([&] { return counted.probe_timeouts == 1; }));
+    CHECK(rig.settle([&] { return counters.late == 1; }));
     rig.pool.probe(0);
     REQUIRE(rig.settle([&] { return rig.worker.peers.size() == 3; }));
     rig.worker.peers[2]->connection.close();
-    CHECK(rig.settle([&] { return counted.probe_connections_lost == 1; }));
-    CHECK(counted.probe_reports + counted.probe_error_statuses + counted.probe_malformed +
-              counted.probe_timeouts + counted.probe_connections_lost ==
-          counted.probes);
-    CHECK(counted.written == 1); // none of them counts as an attempt
+    CHECK(rig.settle([&] { return counters.lost == 1; }));
+    CHECK(counters.told + counters.unwilling + counters.nonsense + counters.late + counters.lost ==
+          counters.probes);
+    CHECK(counters.written == 1); // probes do not count as attempts
 }
 
-// A worker that has started anew is asked anew, though its former process has not answered: the first probe's
-// place was never given back, and nobody was told of its end.
-TEST_CASE("a worker is asked once at a time, whatever the module has forgotten") {
+// The dispatcher probes a restarted worker again although the probe of its former process is pending. Guards
+// against a second probe that replaces the first: the first one's slot was then never released and its end
+// never reported.
+TEST_CASE("a worker has at most one pending probe, even if the dispatcher asks for another") {
     Rig rig;
     rig.pool.probe(0);
     rig.pool.probe(0);
@@ -172,19 +175,19 @@
     CHECK(rig.settle([&] { return rig.pool.size() == 0; }));
 }
 
-TEST_CASE("a probe never takes a connection that a job needs") {
-    Rig rig(10, 1); // room for one
+TEST_CASE("a probe gives up its connection when a job needs it") {
+    Rig rig(10, 1); // a single connection to workers
     rig.pool.probe(0);
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.settle([&] { return rig.pool.counters().probes_without_connection == 1; }));
     CHECK(rig.settle([&] { return rig.worker.peers.size() == 2 && rig.worker.peers[1]->has("\r\n\r\nhi"); }));
-    rig.pool.probe(0); // the job has the one there is
+    rig.pool.probe(0); // the job uses the only connection
     CHECK(rig.pool.counters().probes_without_connection == 2);
     rig.worker.peers[1]->connection.write(Rig::done("a", "1"));
     CHECK(rig.settle([&] { return client->has("\r\n\r\n1"); }));
 }
 
-TEST_CASE("a job that may have run is failed and not sent again") {
+TEST_CASE("a job that may have run fails and is not retried") {
     Rig rig;
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
@@ -194,7 +197,7 @@
     CHECK(rig.worker.peers.size() == 1);
 }
 
-TEST_CASE("a job that never ran is turned away with advice once it is hopeless") {
+TEST_CASE("a job that never ran is refused with Retry-After once it cannot be served in time") {
     Rig rig;
     const auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
@@ -204,7 +207,7 @@
     CHECK_FALSE(client->closed);
 }
 
-TEST_CASE("when the client goes away, the attempt is called off by closing its connection") {
+TEST_CASE("when the client disconnects, its attempt is cancelled by closing the connection") {
     Rig rig;
     auto client = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
@@ -215,7 +218,7 @@
     CHECK(rig.host.open_messages() == 0);
 }
 
-TEST_CASE("requests that cannot be taken get their status and a close") {
+TEST_CASE("invalid requests are answered with an error status and the connection is closed") {
     Rig rig;
     const std::string start = "POST /api HTTP/1.1\r\nHost: h\r\n";
     for (const auto& [text, status] :
@@ -237,7 +240,7 @@
     CHECK(rig.host.counters().admitted == 0);
 }
 
-TEST_CASE("descriptors: idle connections give way, and what must wait is served later") {
+TEST_CASE("descriptors: idle connections are evicted, and waiting clients are served later") {
     Rig rig(2, 1);
     const auto idle = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return idle->has("200"); });
@@ -245,7 +248,7 @@
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     const auto second = rig.client(Rig::job("b"));
     CHECK(rig.settle([&] { return idle->closed; }));
-    // There is no connection for its attempt: it never ran, and may come again.
+    // There is no connection for its attempt: the job never ran and may be retried.
     CHECK(rig.settle([&] { return second->has("HTTP/1.1 503 "); }));
     const auto third = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     CHECK(rig.settle([&] { return third->has("HTTP/1.1 200 "); }));
@@ -255,17 +258,17 @@
     CHECK_FALSE(first->closed);
 }
 
-TEST_CASE("a new connection has to send a whole request soon; one that was served may rest") {
+TEST_CASE("a new connection must send a complete request in time; one that was served may stay idle") {
     Rig rig;
     const auto served = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return served->has("200"); });
     const auto silent = rig.client("");
     const auto trickling = rig.client("POST /api HTTP/1.1\r\nA: ");
-    net::Time wrote{0}; // seldom enough that on a fast machine the head's length is not what ends it
+    net::Time last_write{0}; // rarely enough that the request times out before its header is too long
     CHECK(rig.settle([&] {
-        if (!trickling->closed && rig.loop.now() - wrote > 5ms) {
+        if (!trickling->closed && rig.loop.now() - last_write > 5ms) {
             trickling->connection.write("a");
-            wrote = rig.loop.now();
+            last_write = rig.loop.now();
         }
         return silent->closed && trickling->closed;
     }));
@@ -274,7 +277,7 @@
     CHECK_FALSE(served->closed);
 }
 
-TEST_CASE("short of descriptors, a silent newcomer gives way before a client that was served") {
+TEST_CASE("short of descriptors, a silent new connection is evicted before a client that was served") {
     Rig rig(2);
     const auto served = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return served->has("200"); });
@@ -287,7 +290,7 @@
     CHECK(rig.front.counters().evicted == 1);
 }
 
-TEST_CASE("short of descriptors, an idle connection to a worker gives way to one that is needed") {
+TEST_CASE("short of descriptors, an idle connection to a worker is evicted for a new one") {
     Rig rig(10, 1);
     const Listener second(rig.loop);
     const auto client = rig.client(Rig::job("a"));
@@ -306,8 +309,8 @@
     CHECK(rig.pool.counters().evicted == 1);
 }
 
-TEST_CASE("messages are bounded by the memory that their bodies take") {
-    Rig rig; // with a mebibyte for them, room for three of the largest
+TEST_CASE("the number of messages is limited by the memory of their bodies") {
+    Rig rig; // 1 MiB for messages, enough for three of the largest
     std::vector<std::unique_ptr<Peer>> clients;
     for (int i = 0; i < 4; ++i) {
         clients.push_back(rig.client("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + std::to_string(i) +
@@ -321,19 +324,20 @@
     CHECK(rig.settle([&] { return rig.host.counters().admitted == 4; }));
 }
 
-// A reload may set limits below what is in use: what is open goes on, what comes is told when to come back.
-TEST_CASE("limits lowered below what is in use end nothing that is open") {
+// A reload may lower the limits below the current usage: open messages continue, new ones are refused with
+// Retry-After.
+TEST_CASE("limits lowered below the current usage do not end open messages") {
     Rig rig;
     const auto busy = rig.client(Rig::job("busy"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
-    const auto half = rig.client("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: half\r\n");
+    const auto incomplete = rig.client("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: half\r\n");
     REQUIRE(rig.settle([&] { return rig.front.size() == 2; }));
     rig.front.set_max_connections(1);
     rig.pool.set_max_connections(0);
     rig.host.set_max_bytes(0);
-    half->connection.write("X-Priority-Class: once\r\nContent-Length: 2\r\n\r\nhi");
-    CHECK(rig.settle([&] { return half->has("HTTP/1.1 503 "); }));
-    CHECK(half->has("Retry-After: 2.000\r\n"));
+    incomplete->connection.write("X-Priority-Class: once\r\nContent-Length: 2\r\n\r\nhi");
+    CHECK(rig.settle([&] { return incomplete->has("HTTP/1.1 503 "); }));
+    CHECK(incomplete->has("Retry-After: 2.000\r\n"));
     rig.worker.peers[0]->connection.write(Rig::done("busy", "whole"));
     CHECK(rig.settle([&] { return busy->has("whole"); }));
     rig.front.set_max_connections(10);
@@ -343,13 +347,13 @@
     CHECK(rig.settle([&] { return rig.host.attempts_in_flight() == 1; }));
 }
 
-TEST_CASE("where kept connections break at their next request, jobs that must not run twice go on new ones") {
+TEST_CASE("where kept-alive connections break on reuse, jobs that must not run twice use new connections") {
     Rig rig;
     std::size_t peer = 0;
     int jobs = 0;
     const auto send = [&] {
         const std::string id = "j" + std::to_string(++jobs);
-        rig.wait(30ms); // a connection that was just used settles first
+        rig.wait(30ms); // a connection is reused only some time after its last response
         return std::pair(id, rig.client(Rig::job(id)));
     };
     const auto serve = [&] {
@@ -367,12 +371,13 @@
         REQUIRE(rig.settle([&] { return client->has("HTTP/1.1 502 "); }));
         CHECK(rig.pool.counters().reuse_failures == broken);
     }
-    serve(); // on a new one, which is kept
+    serve(); // on a new connection, which is kept alive
     const auto [id, client] = send();
     CHECK(rig.worker_has(peer + 1, "X-Request-ID: " + id));
 }
 
-TEST_CASE("leaving: clients go on using their connections, then idle ones are closed, the others answered") {
+TEST_CASE(
+    "shutdown: clients go on using their connections; then idle ones are closed and the others answered") {
     Rig rig;
     const auto busy = rig.client(Rig::job("a"));
     const auto idle = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -382,7 +387,7 @@
     rig.front.drain();
     idle->connection.write("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     CHECK(rig.settle([&] { return idle->has("HTTP/1.1 503 "); }));
-    // Accepted by the machine with its request, but not yet by the program.
+    // In the accept queue with its request, but not yet accepted by the program.
     net::Fd fd = net::connect_to(address);
     pollfd connected{.fd = fd.get(), .events = POLLOUT, .revents = 0};
     REQUIRE(::poll(&connected, 1, 10000) == 1);
@@ -392,7 +397,7 @@
     rig.settle([&] { return late->has("503"); });
     rig.front.begin_shutdown(rig.loop.now() + 60s);
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
-    rig.loop.run_once(5ms); // in which what comes is later than the leave
+    rig.loop.run_once(5ms); // so that later requests arrive after `leave`
     idle->connection.write(Rig::job("c"));
     REQUIRE(rig.worker_has(2, "X-Request-ID: c"));
     rig.worker.peers[2]->connection.write(Rig::done("c", "of c"));
@@ -403,7 +408,7 @@
     REQUIRE(rig.settle([&] { return rig.host.attempts_in_flight() == 3; }));
     rig.front.finish_shutdown();
     CHECK(rig.settle([&] { return idle->closed && late->closed; }));
-    CHECK(late->has("HTTP/1.1 502 ")); // it came after the leave, and may have run
+    CHECK(late->has("HTTP/1.1 502 ")); // it arrived after `leave`, and may have run
     CHECK(rig.host.counters().aborted_by_shutdown == 1);
     CHECK_FALSE(busy->closed);
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
@@ -418,13 +423,14 @@
     CHECK(rig.settle([&] { return rig.front.empty(); }));
 }
 
-TEST_CASE("with the listener handed on, idle connections go at once and the others after their answer") {
+TEST_CASE("after the listener is handed over, idle connections are closed at once and the others after their "
+          "response") {
     Rig rig;
     const auto idle = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     const auto busy = rig.client(Rig::job("a"));
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     rig.settle([&] { return idle->has("200"); });
-    const auto fresh = rig.client(""); // its first request is on its way
+    const auto fresh = rig.client(""); // has not sent its first request yet
     rig.settle([&] { return rig.front.size() == 3; });
     rig.front.set_accepting(false);
     rig.front.hand_over(rig.loop.now() + 60s);
@@ -439,7 +445,7 @@
     CHECK(rig.settle([&] { return rig.front.empty(); }));
 }
 
-TEST_CASE("leaving: a job that would not be done in time is sent elsewhere at once") {
+TEST_CASE("shutdown: a job that cannot end in time is refused at once") {
     Rig rig;
     const auto client = rig.client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.settle([&] { return client->has("200"); });
@@ -447,23 +453,23 @@
     client->connection.write(Rig::job("a"));
     CHECK(rig.settle([&] { return client->closed; }));
     CHECK(client->has("HTTP/1.1 503 "));
-    CHECK(client->has("Retry-After: 0.250\r\n")); // others have room now
+    CHECK(client->has("Retry-After: 0.250\r\n")); // other schedulers have capacity now
     CHECK(rig.host.counters().admitted == 0);
 }
 
-TEST_CASE("a lame duck sends its clients away, takes no job late, and serves again once it is off") {
+TEST_CASE("a lame duck sends its clients away, refuses late jobs, and serves again once it is switched off") {
     Rig rig;
-    const std::string check = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
+    const std::string ready_request = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
     const auto busy = rig.client(Rig::job("a"));
-    const auto idle = rig.client(check);
+    const auto idle = rig.client(ready_request);
     REQUIRE(rig.worker_has(0, "\r\n\r\nhi"));
     rig.settle([&] { return idle->has("200"); });
     rig.front.set_lame_duck(true);
-    rig.front.set_lame_duck(true); // asked again, it goes on
-    const auto asking = rig.client(check);
+    rig.front.set_lame_duck(true); // idempotent
+    const auto asking = rig.client(ready_request);
     CHECK(rig.settle([&] { return asking->closed; }));
     CHECK(asking->has("HTTP/1.1 503 "));
-    const auto late = rig.client(Rig::job("b")); // the clients' front has not noticed yet
+    const auto late = rig.client(Rig::job("b")); // the clients' front end has not noticed yet
     REQUIRE(rig.worker_has(1, "X-Request-ID: b"));
     CHECK_FALSE(idle->closed);
     CHECK(rig.settle([&] { return idle->closed; }));
@@ -474,7 +480,7 @@
     CHECK(rig.settle([&] { return too_late->closed; }));
     CHECK(too_late->has("HTTP/1.1 503 "));
     CHECK(rig.host.counters().admitted == 2);
-    CHECK(rig.host.class_totals()[0].refused == 1); // though it never came to the host
+    CHECK(rig.host.class_totals()[0].refused == 1); // though it was never taken in by the host
     rig.worker.peers[0]->connection.write(Rig::done("a", "of a"));
     CHECK(rig.settle([&] { return busy->closed; }));
     CHECK(busy->has("Connection: close\r\n"));
@@ -482,53 +488,53 @@
     CHECK(rig.host.class_totals()[0].served == 1);
     CHECK(rig.pool.counters().written == 2);
     rig.front.set_lame_duck(false);
-    const auto back = rig.client(check);
+    const auto back = rig.client(ready_request);
     CHECK(rig.settle([&] { return back->has("HTTP/1.1 200 "); }));
     rig.wait(600ms);
     CHECK_FALSE(back->closed);
 }
 
-TEST_CASE("the watch goes on from the version held, and a failed call leaves the list as it is") {
+TEST_CASE("the watch continues from the current version, and a failed call leaves the list unchanged") {
     Rig rig;
     std::size_t call = 0;
-    const auto asked = [&](std::string_view text) {
+    const auto requested = [&](std::string_view text) {
         return rig.settle(
             [&] { return rig.discovery.peers.size() > call && rig.discovery.peers[call]->has(text); });
     };
-    REQUIRE(asked("GET /v1/endpoints?from=41&hold_ms=")); // the module has asked for it
+    REQUIRE(requested("GET /v1/endpoints?from=41&hold_ms=")); // requested by the dispatcher
     rig.discovery.peers[0]->connection.write(net::http::write_response(200, {}, rig.list_text(43)));
-    REQUIRE(asked("from=43&hold_ms=")); // on the same connection, at once
+    REQUIRE(requested("from=43&hold_ms=")); // at once, on the same connection
     rig.discovery.peers[0]->connection.write(net::http::write_response(200, {}, "{\"version\":44}"));
     CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 1; }));
     CHECK(rig.list.version() == 43);
     CHECK(rig.list.condition(0) == willowrill::Condition::ready);
-    call = 1; // after a pause, the module asks anew
-    REQUIRE(asked("from=43&hold_ms="));
+    call = 1; // after a pause, the dispatcher asks again
+    REQUIRE(requested("from=43&hold_ms="));
     rig.discovery.peers[1]->connection.write(net::http::write_response(503, {}, ""));
     CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 2; }));
     call = 2;
-    REQUIRE(asked("from=43&hold_ms="));
+    REQUIRE(requested("from=43&hold_ms="));
     rig.discovery.peers[2]->connection.close();
     CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 3; }));
 }
 
-TEST_CASE("discovery moves: the whole list is taken at the new address, and nothing counts as failed") {
+TEST_CASE("discovery moves: the full list is requested at the new address, and no call counts as failed") {
     Rig rig;
-    const auto asked = [&](Listener& at, std::size_t peer, std::string_view text) {
+    const auto requested = [&](Listener& at, std::size_t peer, std::string_view text) {
         return rig.settle([&] { return at.peers.size() > peer && at.peers[peer]->has(text); });
     };
-    REQUIRE(asked(rig.discovery, 0, "from=41&hold_ms="));
+    REQUIRE(requested(rig.discovery, 0, "from=41&hold_ms="));
     Listener moved(rig.loop);
     rig.watch.move(moved.address);
-    CHECK(rig.list.condition(0) == willowrill::Condition::ready); // the list held stays in use
-    REQUIRE(asked(moved, 0, "GET /v1/endpoints HTTP/1.1"));
+    CHECK(rig.list.condition(0) == willowrill::Condition::ready); // the current list stays in use
+    REQUIRE(requested(moved, 0, "GET /v1/endpoints HTTP/1.1"));
     CHECK(rig.settle([&] { return rig.discovery.peers[0]->closed; }));
     CHECK(rig.host.counters().failed_list_updates == 0);
     moved.peers[0]->connection.write(net::http::write_response(503, {}, ""));
     CHECK(rig.settle([&] { return rig.host.counters().failed_list_updates == 1; }));
-    REQUIRE(asked(moved, 1, "GET /v1/endpoints HTTP/1.1")); // still the whole list
+    REQUIRE(requested(moved, 1, "GET /v1/endpoints HTTP/1.1")); // still the full list
     moved.peers[1]->connection.write(net::http::write_response(200, {}, rig.list_text(7)));
-    REQUIRE(asked(moved, 1, "from=7&hold_ms=")); // and the watch goes on there
+    REQUIRE(requested(moved, 1, "from=7&hold_ms=")); // the watch continues there
     CHECK(rig.list.version() == 7);
     CHECK(rig.discovery.peers.size() == 1);
 }
