--- a/src/scheduler/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -92,9 +92,9 @@
 }
 
 std::string format_seconds(std::uint64_t milliseconds) {
-    std::ostringstream out;
-    out << std::fixed << std::setprecision(1) << static_cast<double>(milliseconds) / 1000 << " s";
-    return out.str();
+    std::ostringstream stream;
+    stream << std::fixed << std::setprecision(1) << static_cast<double>(milliseconds) / 1000 << " s";
+    return stream.str();
 }
 
 void print_counts(simdjson::dom::element document, const Options& options) {
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -31,7 +31,7 @@
 // Collects metrics and writes them in the Prometheus text format.
 class MetricsBuilder {
   public:
-    // Adds one sample. The samples of one metric that differ by their labels must be added in a row.
+    // Adds one sample. The samples of one metric that differ by their labels must be added consecutively.
     void add(const std::string& name, const std::string& help, MetricType type, double value,
              std::vector<prometheus::ClientMetric::Label> labels = {}) {
         if (families_.empty() || families_.back().name != "willowrill_" + name)
--- a/src/scheduler/log/log.cpp
+++ b/src/scheduler/log/log.cpp
@@ -41,7 +41,7 @@
   public:
     explicit JsonFormatter(std::string instance) : instance_(std::move(instance)) {}
 
-    void format(const spdlog::details::log_msg& message, spdlog::memory_buf_t& out) override {
+    void format(const spdlog::details::log_msg& message, spdlog::memory_buf_t& buffer) override {
         std::string line = "{\"time\":\"";
         spdlog::memory_buf_t time;
         time_.format(message, time);
@@ -61,7 +61,7 @@
             }
         }
         line += ",\"text\":" + json_quote({message.payload.data(), message.payload.size()}) + "}\n";
-        out.append(line.data(), line.data() + line.size());
+        buffer.append(line.data(), line.data() + line.size());
     }
     std::unique_ptr<spdlog::formatter> clone() const override {
         return std::make_unique<JsonFormatter>(instance_);
@@ -108,22 +108,22 @@
 } // namespace
 
 std::string json_quote(std::string_view text) {
-    std::string out = "\"";
+    std::string quoted = "\"";
     while (!text.empty()) {
         const std::size_t length = utf8_sequence_length(text);
         const char c = text.front();
         if (length == 0) {
-            out += "\xef\xbf\xbd";
+            quoted += "\xef\xbf\xbd";
         } else if (c == '"' || c == '\\') {
-            out.append("\\").push_back(c);
+            quoted.append("\\").push_back(c);
         } else if (static_cast<unsigned char>(c) < 0x20) {
-            out += fmt::format("\\u{:04x}", c);
+            quoted += fmt::format("\\u{:04x}", c);
         } else {
-            out.append(text.substr(0, length));
+            quoted.append(text.substr(0, length));
         }
         text.remove_prefix(std::max<std::size_t>(length, 1));
     }
-    return out + "\"";
+    return quoted + "\"";
 }
 
 std::unique_ptr<spdlog::formatter> make_json_formatter(std::string instance) {
--- a/tests/scheduler/atomic_file/store_test.cpp
+++ b/tests/scheduler/atomic_file/store_test.cpp
@@ -94,13 +94,13 @@
 TEST_CASE("a crash or power loss at any call leaves the old or the new content intact") {
     for (const bool power_lost : {false, true}) {
         for (const bool names_survive : {false, true}) {
-            for (int at = 1; at <= 4; ++at) {
-                CAPTURE(at);
+            for (int call = 1; call <= 4; ++call) {
+                CAPTURE(call);
                 FakeFileSystem file_system;
                 AtomicFile file("/d", "f", 1, file_system);
                 REQUIRE_FALSE(file.save(bytes("old")));
                 file_system.calls = 0;
-                file_system.crash_at = at;
+                file_system.crash_at = call;
                 CHECK_THROWS_AS(file.save(bytes("new one")), FakeFileSystem::Crash);
                 file_system.crash_at = -1;
                 if (power_lost) file_system.lose_power(names_survive);
@@ -115,12 +115,12 @@
 }
 
 TEST_CASE("a failed call is reported with its path, and the old content stays") {
-    for (int at = 1; at <= 3; ++at) {
+    for (int call = 1; call <= 3; ++call) {
         FakeFileSystem file_system;
         AtomicFile file("/d", "f", 1, file_system);
         REQUIRE_FALSE(file.save(bytes("old")));
         file_system.calls = 0;
-        file_system.fail_at = at;
+        file_system.fail_at = call;
         const auto failed = file.save(bytes("new"));
         REQUIRE(failed);
         CHECK(failed->find("/d") != std::string::npos);
@@ -190,9 +190,9 @@
     for (std::size_t size = 1; size < intact.size(); ++size)
         CHECK(status_of(Bytes(intact.begin(), intact.begin() + static_cast<std::ptrdiff_t>(size))) ==
               LoadStatus::corrupt);
-    for (std::size_t at = 8; at < intact.size(); ++at) {
+    for (std::size_t position = 8; position < intact.size(); ++position) {
         Bytes flipped = intact;
-        flipped[at] ^= 1U;
+        flipped[position] ^= 1U;
         const LoadStatus status = status_of(flipped);
         CHECK((status == LoadStatus::corrupt || status == LoadStatus::newer_format));
     }
