--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -21,7 +21,7 @@
     }
     std::vector<ws::Event> events{list};
     for (ws::JobId job = 0; job < 3; ++job) {
-        events.emplace_back(ws::JobArrived{.job = job, .left = 5s});
+        events.emplace_back(ws::JobArrived{.job = job, .time_left = 5s});
     }
     std::vector<ws::Action> actions;
     dispatcher.handle(0ns, events, actions);
--- a/include/willowrill/dispatcher.h
+++ b/include/willowrill/dispatcher.h
@@ -73,16 +73,16 @@
     Duration progress_period{0};  // time between progress notes; 0 for none
     bool reports_with_answers = false;
     bool reports_with_probes = false; // the answer to a probe carries a load report
-    bool tells_load() const { return reports_with_answers || reports_with_probes; }
+    bool reports_load() const { return reports_with_answers || reports_with_probes; }
 
     // What the site allows.
     bool may_cancel = false;
-    bool second_copies = false; // two attempts of a job may be out at once
-    bool takes_advice = false;  // clients receive `Refuse::stay_away`
-    bool marks_retry = false;   // clients say of each later try that it is one
-    bool probes = false;        // workers may be asked how they are
+    bool second_copies = false;             // two attempts of a job may be out at once
+    bool clients_honor_retry_after = false; // clients receive `Refuse::retry_after`
+    bool marks_retry = false;               // clients say of each later try that it is one
+    bool probes = false;                    // workers may be asked how they are
     Index max_attempts = 1;
-    Duration max_stay_away{0};
+    Duration max_retry_after{0};
     double cross_zone_price = 0, handshake_price = 0;
     double probe_price = 0;      // of one probe for each job, as a share of all worth
     Duration connect_timeout{0}; // a connection that is not made by then never comes up
@@ -162,7 +162,7 @@
     Index job_class = 0;
     Index tenant = none;
     std::optional<std::uint64_t> key{}; // what the job is about
-    Duration left{0};                   // until the client gives this try up
+    Duration time_left{0};              // until the client gives this try up
     Duration hint{0};                   // rough running time, 0 where there is none
     double slots = 1;
     double memory = 0;
@@ -170,7 +170,7 @@
 };
 
 // The client has left, or the answer is overdue: nothing is owed any more.
-struct JobLeft {
+struct JobAbandoned {
     JobId job = 0;
 };
 
@@ -216,7 +216,7 @@
 // The time of an earlier `Wake` has come.
 struct TimerExpired {};
 
-using Event = std::variant<EndpointListUpdate, JobArrived, JobLeft, AttemptStarted, AttemptProgress,
+using Event = std::variant<EndpointListUpdate, JobArrived, JobAbandoned, AttemptStarted, AttemptProgress,
                            AnswerBegun, AttemptEnded, Probed, TimerExpired>;
 
 // ---- Actions -------------------------------------------------------------------------------------------
@@ -234,7 +234,7 @@
 // Final answer: turned away, trying again is harmless.
 struct Refuse {
     JobId job = 0;
-    Duration stay_away{0}; // how long the client should wait; 0 for no advice
+    Duration retry_after{0}; // how long the client should wait; 0 for no advice
 };
 
 // Final answer: failed, with no promise about the effect.
--- a/src/lab/spread/chance.h
+++ b/src/lab/spread/chance.h
@@ -13,16 +13,16 @@
 
 namespace willowrill::lab::spread {
 
-using load_estimates::mixed, load_estimates::seconds, load_estimates::from_seconds;
+using load_estimates::mix64, load_estimates::seconds, load_estimates::from_seconds;
 
 // Whether a fault hits this one of many: the same for a whole run.
 inline bool chosen(std::uint64_t seed, std::size_t which, double share, std::uint64_t salt) {
-    return load_estimates::unit(mixed(mixed(which + 1) ^ mixed(seed * 1000 + salt))) < share;
+    return load_estimates::to_unit_interval(mix64(mix64(which + 1) ^ mix64(seed * 1000 + salt))) < share;
 }
 
 class Chance {
   public:
-    explicit Chance(std::uint64_t seed) : random_(mixed(seed + 1)) {}
+    explicit Chance(std::uint64_t seed) : random_(mix64(seed + 1)) {}
 
     double uniform() { return (static_cast<double>(random_()) + 0.5) / 4294967296.0; } // from 0 to 1
     std::size_t below(std::size_t count) { return random_() % count; }
--- a/src/lab/spread/world.cpp
+++ b/src/lab/spread/world.cpp
@@ -23,7 +23,7 @@
 
 Settings SpreadWorld::settings_of(std::size_t scheduler) const {
     Settings out;
-    out.seed = mixed(experiment_.seed * 100000 + scheduler);
+    out.seed = mix64(experiment_.seed * 100000 + scheduler);
     out.self = static_cast<Index>(scheduler);
     out.dispatchers = static_cast<Index>(experiment_.schedulers);
     out.zones = static_cast<Index>(experiment_.zones);
@@ -38,9 +38,9 @@
     out.tick = 5ms;
     out.reports_with_answers = experiment_.reports == Reports::answers;
     out.probes = out.reports_with_probes = experiment_.reports == Reports::probes;
-    out.may_cancel = out.takes_advice = out.marks_retry = true;
+    out.may_cancel = out.clients_honor_retry_after = out.marks_retry = true;
     out.max_attempts = 4;
-    out.max_stay_away = 2s;
+    out.max_retry_after = 2s;
     out.connect_timeout = connect_timeout;
     out.connection_idle = 5s;
     out.answer_slack = 20ms;
@@ -57,7 +57,7 @@
     for (std::size_t id = 0; id < experiment_.workers; ++id) {
         workers_.push_back({.post = Post(experiment_)});
         workers_.back().entry = {.worker = static_cast<WorkerId>(id),
-                                 .key = mixed(id + 1),
+                                 .key = mix64(id + 1),
                                  .zone = static_cast<Index>(id % experiment_.zones)};
     }
     const std::vector<double> per_s = arrivals(experiment_);
@@ -168,7 +168,7 @@
     const std::size_t fresh = workers_.size();
     workers_.push_back({.post = Post(experiment_, now_)});
     workers_[fresh].entry = {.worker = static_cast<WorkerId>(fresh),
-                             .key = mixed(fresh + 1),
+                             .key = mix64(fresh + 1),
                              .up_since = now_,
                              .zone = workers_[id].entry.zone};
     set_speed(fresh);
--- a/src/scheduler/config/settings.cpp
+++ b/src/scheduler/config/settings.cpp
@@ -238,11 +238,11 @@
             "sends, starts and answers");
     to.may_cancel = flag(limits, "cancel");
     to.second_copies = flag(limits, "second_copies");
-    to.takes_advice = flag(limits, "retry_after");
+    to.clients_honor_retry_after = flag(limits, "retry_after");
     to.marks_retry = flag(section(json, "clients"), "marks_retry");
     to.max_attempts = static_cast<Index>(whole(limits, "max_attempts", 1, most_count));
     if (to.max_attempts == 0) bad("max_attempts", "more than 0");
-    to.max_stay_away = duration(limits, "max_retry_after_ns");
+    to.max_retry_after = duration(limits, "max_retry_after_ns");
     to.cross_zone_price = number(section(json, "prices"), "cross_zone");
     to.handshake_price = number(section(json, "prices"), "handshake");
     to.probe_price = number(section(json, "prices"), "probe");
--- a/src/scheduler/core/host.cpp
+++ b/src/scheduler/core/host.cpp
@@ -32,7 +32,7 @@
 Host::Host(const willowrill::Settings& settings, std::size_t max_open_messages, std::size_t max_bytes,
            Upstream& upstream, WorkerListSource& worker_list)
     : dispatcher_(settings), tick_(settings.tick),
-      retry_after_(settings.takes_advice ? settings.max_stay_away : Duration(0)),
+      retry_after_(settings.clients_honor_retry_after ? settings.max_retry_after : Duration(0)),
       max_open_messages_(max_open_messages), max_bytes_(max_bytes), upstream_(upstream),
       worker_list_(worker_list) {
     for (const willowrill::JobClass& job_class : settings.classes)
@@ -60,7 +60,7 @@
                                    .job_class = message.job_class,
                                    .tenant = message.tenant,
                                    .key = message.key,
-                                   .left = message.deadline, // `run_batch` turns it into a duration
+                                   .time_left = message.deadline, // `run_batch` turns it into a duration
                                    .hint = message.hint,
                                    .slots = message.slots,
                                    .memory = message.memory,
@@ -136,14 +136,14 @@
 void Host::client_left(JobId job) {
     if (end_message(job, FinalStatus::client_left) == nullptr) return;
     ++counters_.clients_left;
-    queue_event(job, willowrill::JobLeft{job});
+    queue_event(job, willowrill::JobAbandoned{job});
 }
 
 void Host::fail_overdue(JobId job) {
     Client* client = end_message(job, FinalStatus::failed);
     if (client == nullptr) return;
     ++counters_.overdue;
-    queue_event(job, willowrill::JobLeft{job});
+    queue_event(job, willowrill::JobAbandoned{job});
     client->on_failed();
 }
 
@@ -154,7 +154,7 @@
     Client* client = end_message(job, report_failure ? FinalStatus::failed : FinalStatus::refused);
     if (client == nullptr) return;
     ++counters_.aborted_by_shutdown;
-    queue_event(job, willowrill::JobLeft{job});
+    queue_event(job, willowrill::JobAbandoned{job});
     report_failure ? client->on_failed() : client->on_refused(retry_elsewhere_after());
 }
 
@@ -243,7 +243,7 @@
         if (auto* arrived = std::get_if<willowrill::JobArrived>(&event)) {
             // One tick less than remains, as the module's action at the deadline may have to wait for a
             // batch.
-            arrived->left = std::max(Duration(0), arrived->left - now - tick_);
+            arrived->time_left = std::max(Duration(0), arrived->time_left - now - tick_);
         }
     }
     std::vector<willowrill::Action> actions;
@@ -292,7 +292,7 @@
                    [&](const willowrill::Refuse& refuse) {
                        if (Client* client = end_message(refuse.job, FinalStatus::refused)) {
                            ++counters_.refused;
-                           client->on_refused(refuse.stay_away);
+                           client->on_refused(refuse.retry_after);
                        }
                    },
                    [&](const willowrill::Fail& fail) {
--- a/src/scheduler/dispatcher/rules.cpp
+++ b/src/scheduler/dispatcher/rules.cpp
@@ -76,8 +76,8 @@
     // ---- 1. Events -------------------------------------------------------------------------------------
 
     void on(const EndpointListUpdate& news) {
-        list.told(news.kind == EndpointListUpdate::Kind::broken,
-                  news.kind == EndpointListUpdate::Kind::remembered);
+        list.on_update(news.kind == EndpointListUpdate::Kind::broken,
+                       news.kind == EndpointListUpdate::Kind::remembered);
         if (news.kind == EndpointListUpdate::Kind::broken) return;
         for (Worker& w : workers)
             w.ready = w.ready && news.kind == EndpointListUpdate::Kind::changes;
@@ -122,11 +122,12 @@
         const JobClass& c = settings.classes[in.job_class];
         Job& job = jobs[in.job];
         job = {.serial = ++last_serial, .live = true, .in = in, .arrived = now};
-        job.asked_at = now - first_tries.ago(in.job_class, in.left, settings.marks_retry && !in.is_retry);
+        job.asked_at =
+            now - first_tries.ago(in.job_class, in.time_left, settings.marks_retry && !in.is_retry);
         job.in.slots = kind_slots.believed(in.slots); // a client may claim anything
         job.in.hint = std::min(in.hint, c.give_up);
         kind_slots.wide_job(job.in.slots);
-        job.deadline = now + in.left - settings.tick;
+        job.deadline = now + in.time_left - settings.tick;
         const double worth = c.worth * (within_quota(in) ? 1 : settings.over_quota_worth);
         job.value = worth / (job.in.slots * (settings.worth_by_work ? 1 : times.runs.run(in.job_class)));
         retries.add(retry_ratio, retry_burst);
@@ -137,7 +138,7 @@
         wait(in.job);
     }
 
-    void on(const JobLeft& left) {
+    void on(const JobAbandoned& left) {
         if (left.job >= jobs.size()) return;
         jobs[left.job].live = jobs[left.job].waiting = false;
         call_off(left.job);
@@ -153,9 +154,9 @@
     // Where load is never told, how long a job waited there tells it.
     void started(const Job& job, Attempt& attempt) {
         attempt.started_at = now;
-        if (settings.tells_load()) return;
+        if (settings.reports_load()) return;
         Worker& w = workers[attempt.worker];
-        w.report(times.load_at_start(job, attempt, w, (attempt.opens ? 8 : 4) * settings.tick), now);
+        w.record_report(times.load_at_start(job, attempt, w, (attempt.opens ? 8 : 4) * settings.tick), now);
         loads.add(w.group(), w.load);
     }
 
@@ -185,7 +186,7 @@
         mark_started(job, *attempt);
         attempt->out = false;
         attempt->may_have_run = may_have_run(ended.outcome);
-        w.ended(job.in.slots);
+        w.record_end(job.in.slots);
         capacity_changed = true;
         // What it has finished, it had slots for. (A first report from a busy worker shows few.)
         if (ended.outcome == Outcome::served && ended.report && ended.report->free_slots)
@@ -193,14 +194,15 @@
         if (ended.report)
             note_report(w, *ended.report, attempt->may_have_run ? job.in.slots : 0);
         else if (!settings.reports_with_answers)
-            w.ended_untold(*attempt, job.in.slots, settings.tells_load() ? job.in.slots / warm_slots(w) : 0);
+            w.record_end_without_report(*attempt, job.in.slots,
+                                        settings.reports_load() ? job.in.slots / warm_slots(w) : 0);
         judge(attempt->worker, ended.outcome, job.in.slots);
         if (ended.outcome == Outcome::served) {
             const bool had_room = !ended.report || ended.report->free_slots.value_or(1) > 0.5;
             w.connected_until = now + settings.connection_idle * 3 / 4;
             times.served(job, *attempt, w, ended.latency, had_room, settings.tells_start, now);
         }
-        if (ended.job_over) on(JobLeft{ended.job});
+        if (ended.job_over) on(JobAbandoned{ended.job});
         if (!job.live || job.streaming || job.is_out()) return;
         if (now >= job.deadline || !may_send(job)) return end(ended.job);
         if (attempt->may_have_run && !attempt->cancelled && !retries.take()) return end(ended.job);
@@ -228,7 +230,7 @@
         const double per_slot = all > 0 ? 1 / all : default_step;
         const double load = load_estimates::load_in(report, usual_load(w), all, per_slot);
         if (!w.is_news(report, now, from_seconds(blind_s))) return;
-        w.report(load - finished_slots * per_slot, now);
+        w.record_report(load - finished_slots * per_slot, now);
         loads.add(w.group(), w.load);
     }
 
@@ -286,7 +288,7 @@
         if (!tells()) return look_again(id, now + (now - last.sent) / 4);
         // It waits in a queue there: where it may, it moves to a worker with room. Where load is never told,
         // no room is known, and what is called off may keep its place all the same: moves would be load.
-        if (settings.tells_start && settings.tells_load()) move(id, last);
+        if (settings.tells_start && settings.reports_load()) move(id, last);
         if (settings.tells_start) look_again(id, hopeless);
     }
 
@@ -415,7 +417,7 @@
     double load_of(const Worker& w, double more, double x) const {
         const double load = believed_load(w, x);
         const bool blind =
-            w.own_slots <= 0 && (w.reported_at < 0ns || seconds(now - w.reported_at) > blind_s);
+            w.outstanding_slots <= 0 && (w.reported_at < 0ns || seconds(now - w.reported_at) > blind_s);
         return blind ? std::min(load, std::max(0.0, 1 - more / slots_of(w))) : load;
     }
 
@@ -517,7 +519,7 @@
         Job& job = jobs[id];
         Worker& w = workers[to];
         const double step = increment(w, job);
-        w.sent(job.in.slots, step);
+        w.record_send(job.in.slots, step);
         if (is_cold(w)) w.cold_sends.add(times.work(job), now);
         const Time begin_by = repeats_end(job);
         const bool opens = now >= std::exchange(w.connected_until, 0ns); // if there is one, this job has it
@@ -529,7 +531,7 @@
     void end(JobId id) {
         Job& job = jobs[id];
         job.live = job.waiting = false;
-        const Refuse refusal{id, settings.takes_advice ? settings.max_stay_away : 0ns};
+        const Refuse refusal{id, settings.clients_honor_retry_after ? settings.max_retry_after : 0ns};
         const bool timed_out = now >= job.deadline && job.is_out();
         actions->push_back(may_refuse(job) && !timed_out ? Action{refusal} : Action{Fail{id}});
         call_off(id);
@@ -600,17 +602,17 @@
             due.of_work(all, ready.size());
         }
         if (sent + times.work(job) <= due.most) return true;
-        return cold_shares.falls_to_next(due.fair, times.work(job), all, chance(job)) && sent <= 0;
+        return cold_shares.select_next(due.fair, times.work(job), all, chance(job)) && sent <= 0;
     }
 
     const JobClass& class_of(const Job& job) const { return settings.classes[job.in.job_class]; }
 
     double chance(const Job& job) const { // the same, however often it is asked for this job
-        return load_estimates::unit(
-            load_estimates::mixed(settings.seed + job.serial * 0x9e3779b97f4a7c15ULL));
+        return load_estimates::to_unit_interval(
+            load_estimates::mix64(settings.seed + job.serial * 0x9e3779b97f4a7c15ULL));
     }
 
-    double uniform() { return load_estimates::unit(random()); }
+    double uniform() { return load_estimates::to_unit_interval(random()); }
 
     Attempt* find(JobId id, Index attempt) {
         return id < jobs.size() && attempt < jobs[id].attempts.size() ? &jobs[id].attempts[attempt] : nullptr;
@@ -641,9 +643,9 @@
 
     void keep_list() {
         if (!settings.list_on_request) return;
-        if (list.due(now, settings.list_valid, settings.drain_grace, [&] { return uniform(); }))
+        if (list.should_request(now, settings.list_valid, settings.drain_grace, [&] { return uniform(); }))
             actions->emplace_back(WatchList{true});
-        wake_by = std::min(wake_by, list.next().value_or(wake_by));
+        wake_by = std::min(wake_by, list.next_request_at().value_or(wake_by));
     }
 
     // ---- 5. Probes -------------------------------------------------------------------------------------
@@ -677,10 +679,10 @@
         for (const Event& event : events)
             std::visit([&](const auto& e) { on(e); }, event);
         no_room.assign(std::max<std::size_t>(settings.kinds, kind_slots.kinds()) + 1, unlimited);
-        const auto is_void = [&](const load_estimates::Agenda::Entry& due) {
+        const auto is_void = [&](const load_estimates::TimerQueue::Entry& due) {
             return !jobs[due.id].live || jobs[due.id].serial != due.serial;
         };
-        while (const auto due = reviews.due(now, is_void))
+        while (const auto due = reviews.pop_due(now, is_void))
             review(due->id);
         if (std::exchange(capacity_changed, false)) {
             std::ranges::stable_sort(waiting, std::greater<>(), [&](JobId id) { return jobs[id].value; });
@@ -690,7 +692,7 @@
         std::erase_if(waiting, [&](JobId id) { return !jobs[id].waiting; });
         keep_list();
         probe();
-        wake_by = std::min(wake_by, reviews.next().value_or(wake_by));
+        wake_by = std::min(wake_by, reviews.next_time().value_or(wake_by));
         if (wake_by < Time::max() && (armed <= now || wake_by < armed)) {
             armed = std::max(wake_by, now + 1ns);
             actions->emplace_back(Wake{armed});
@@ -708,9 +710,9 @@
     std::vector<Job> jobs;
     std::vector<JobId> waiting;
     std::vector<double> no_room; // by kind of worker needed, 0 for any: slots for which there is no room now
-    load_estimates::Agenda reviews;
+    load_estimates::TimerQueue reviews;
     load_estimates::Holders holders; // of the job that is being placed: how many workers come before another
-    load_estimates::Shares cold_shares; // of the job that is being placed
+    load_estimates::SystematicSampler cold_shares; // of the job that is being placed
     load_estimates::Rate arrivals;
     load_estimates::Pulse probes;
     std::uint64_t last_serial = 0;
--- a/src/scheduler/load_estimates/books.h
+++ b/src/scheduler/load_estimates/books.h
@@ -20,10 +20,10 @@
 struct Attempt {
     WorkerId worker = 0;
     Time sent{0};
-    double step = 0;     // what it added to X
-    bool opens = false;  // the connection it goes on
-    bool away = false;   // not at a holder of its key
-    Time started_at{-1}; // negative: no word of its start came
+    double load_increment = 0; // what it added to X
+    bool opens = false;        // the connection it goes on
+    bool away = false;         // not at a holder of its key
+    Time started_at{-1};       // negative: no word of its start came
     bool out = true, started = false, cancelled = false, may_have_run = true;
     bool stuck = false; // out for so long that it must be waiting at its worker
 };
@@ -36,10 +36,10 @@
     double sent_slots = 0;  // what X stands for, in slots: sent since the last fresh report
     Time reported_at{-1};   // when L came; negative for never
     std::optional<Report> last_report{};
-    Time changed_at{0};      // when it came first
-    Time connected_until{0}; // a connection that has served is kept so long at the least
-    double own_slots = 0;    // slots of this dispatcher's attempts that are out
-    double stuck_slots = 0;  // of these, slots of attempts that ought to have started by now
+    Time changed_at{0};           // when it came first
+    Time connected_until{0};      // a connection that has served is kept so long at the least
+    double outstanding_slots = 0; // slots of this dispatcher's attempts that are out
+    double stuck_slots = 0;       // of these, slots of attempts that ought to have started by now
     int strikes = 0;
     Time full_until{0}, rest_until{0}, trusted_from{0};
     Window cold_sends;  // work
@@ -48,7 +48,7 @@
     Time asked_at{0};
 
     // Workers of one kind and zone are alike: what is known of one holds for others.
-    std::size_t group() const { return group_of(entry.kind, entry.zone); }
+    std::size_t group() const { return group_index(entry.kind, entry.zone); }
     Runs::Place place() const { return {entry.kind, group()}; }
     bool is_cold(Time now, Time cold_time) const {
         return entry.up_since > Time(0) && now - entry.up_since < cold_time;
@@ -61,7 +61,7 @@
     // A new process at its place: what was learnt is void, and what is out still is.
     Worker anew() const {
         Worker out;
-        out.own_slots = own_slots;
+        out.outstanding_slots = outstanding_slots;
         out.asked = asked;
         out.asked_at = asked_at;
         return out;
@@ -81,7 +81,7 @@
         return !std::exchange(asked, true);
     }
 
-    void report(double l, Time now) {
+    void record_report(double l, Time now) {
         load = std::max(0.0, l);
         degradation = sent_slots = 0;
         reported_at = now;
@@ -101,24 +101,24 @@
     // A load that counts what is known of ours: all of it is there and, while some has not started, the
     // worker is full and those wait.
     double at_least(double load, double slots) const {
-        load = std::max(load, own_slots / slots);
+        load = std::max(load, outstanding_slots / slots);
         return stuck_slots > 0 ? std::max(1.0, load) + stuck_slots / slots : load;
     }
-    void sent(double slots, double step) {
-        degradation = policy::degradation_after(degradation, step);
+    void record_send(double slots, double load_increment) {
+        degradation = policy::degradation_after(degradation, load_increment);
         sent_slots += slots;
-        own_slots += slots;
+        outstanding_slots += slots;
     }
-    void ended(double slots) { own_slots = std::max(0.0, own_slots - slots); }
+    void record_end(double slots) { outstanding_slots = std::max(0.0, outstanding_slots - slots); }
     // An end that no report came with: until the next one, what this dispatcher knows to be over counts no
     // more, be it in X or, if the last report was made after the job was sent, in L. `share`: of all slots. A
     // job goes out after the reports of its own moment have been taken in.
-    void ended_untold(const Attempt& attempt, double slots, double share) {
+    void record_end_without_report(const Attempt& attempt, double slots, double share) {
         if (attempt.sent < reported_at) {
             load = std::max(0.0, load - share);
         } else {
             sent_slots = std::max(0.0, sent_slots - slots);
-            degradation = std::max(0.0, degradation - attempt.step);
+            degradation = std::max(0.0, degradation - attempt.load_increment);
         }
     }
 };
@@ -196,7 +196,7 @@
 // chance, as all dispatchers may start at once; they recur often enough for the list to stay valid.
 class Subscription {
   public:
-    void told(bool broken, bool remembered) {
+    void on_update(bool broken, bool remembered) {
         failed_ = failed_ || broken;
         asked_ = asked_ && !broken; // what still comes of the one that broke is no sign of a new one
         if (!broken && asked_) watching_ = watching_ || !remembered;
@@ -204,7 +204,7 @@
     // Whether to ask now; `chance` gives a number from 0 to 1 when it is needed. A new life may remember a
     // list so old that its changes count as told from the first moment: its first call leaves half of the
     // grace for drains to its answer.
-    template <class Chance> bool due(Time now, Time valid, Time drain_grace, Chance chance) {
+    template <class Chance> bool should_request(Time now, Time valid, Time drain_grace, Chance chance) {
         if (ask_at_ < Time(0)) ask_at_ = now + from_seconds(chance() * first_spread(valid, drain_grace));
         if (watching_) failures_ = 0;
         if (std::exchange(failed_, false)) {
@@ -215,7 +215,7 @@
         ask_at_ = now + valid / 2;
         return asked_ = true;
     }
-    std::optional<Time> next() const { return watching_ ? std::nullopt : std::optional(ask_at_); }
+    std::optional<Time> next_request_at() const { return watching_ ? std::nullopt : std::optional(ask_at_); }
 
   private:
     static double first_spread(Time valid, Time drain_grace) {
--- a/src/scheduler/load_estimates/learn.h
+++ b/src/scheduler/load_estimates/learn.h
@@ -26,16 +26,18 @@
 inline Time from_seconds(double s) { return Time(static_cast<Time::rep>(std::clamp(s, -1e9, 1e9) * 1e9)); }
 
 // SplitMix64's last step: a hash that is the same everywhere.
-inline std::uint64_t mixed(std::uint64_t x) {
+inline std::uint64_t mix64(std::uint64_t x) {
     x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27U)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31U);
 }
 
-inline double unit(std::uint64_t random) { return static_cast<double>(random >> 11U) * 0x1.0p-53; }
+inline double to_unit_interval(std::uint64_t random) {
+    return static_cast<double>(random >> 11U) * 0x1.0p-53;
+}
 
 // The place of a pair in tables by kind and zone: no two pairs share one, whatever kinds and zones come.
-inline std::size_t group_of(std::size_t kind, std::size_t zone) {
+inline std::size_t group_index(std::size_t kind, std::size_t zone) {
     return (kind + zone) * (kind + zone + 1) / 2 + zone;
 }
 
@@ -222,7 +224,7 @@
 
 // What is to be looked at, and when. What has become void is dropped when it comes up, and all of it once it
 // may be the most: a time that lies a day ahead must not hold its entry for a day.
-class Agenda {
+class TimerQueue {
   public:
     struct Entry {
         Time at{0};
@@ -235,7 +237,7 @@
         entries_.push_back(entry);
         std::ranges::push_heap(entries_, std::greater<>());
     }
-    template <class IsVoid> std::optional<Entry> due(Time now, IsVoid is_void) {
+    template <class IsVoid> std::optional<Entry> pop_due(Time now, IsVoid is_void) {
         if (entries_.size() > tidy_at_) {
             std::erase_if(entries_, is_void);
             std::ranges::make_heap(entries_, std::greater<>());
@@ -249,7 +251,7 @@
         }
         return std::nullopt;
     }
-    std::optional<Time> next() const {
+    std::optional<Time> next_time() const {
         return entries_.empty() ? std::nullopt : std::optional(entries_.front().at);
     }
     std::size_t size() const { return entries_.size(); }
@@ -332,7 +334,7 @@
     // As many of the first hold it as its share of the jobs fills, times `spare`; one at the least.
     template <class Ids, class KeyOf>
     void order(std::uint64_t key, double spare, const Ids& ids, KeyOf key_of) {
-        key_ = mixed(key + 1);
+        key_ = mix64(key + 1);
         holders_ = std::max(1.0, std::ceil(shares_.share(key) * spare * static_cast<double>(ids.size())));
         first_ = {};
         for (const auto id : ids) {
@@ -350,7 +352,7 @@
     }
 
   private:
-    double height_of(std::uint64_t worker) const { return unit(mixed(key_ ^ worker)); }
+    double height_of(std::uint64_t worker) const { return to_unit_interval(mix64(key_ ^ worker)); }
     KeyShares shares_;
     std::uint64_t key_ = 0;
     double holders_ = 1;
@@ -374,12 +376,12 @@
 
 // Shares of one thing after the other, laid end to end. A point of chance from 0 to 1 falls to a share by its
 // length, and to one alone as long as all of them are no more than 1 (systematic sampling).
-class Shares {
+class SystematicSampler {
   public:
     // Whether a job of this work, of so much work that comes in all, falls to the next taker. That is due
     // `fair` of it, and closed for as long as it takes until one job more is due; while it is open, it takes
     // more.
-    bool falls_to_next(double fair, double work, double all, double point) {
+    bool select_next(double fair, double work, double all, double point) {
         const double open = 1 - std::min(most_closed, fair / std::max(work, tiny));
         const double share = fair / open / std::max(all, tiny);
         const double from = std::exchange(end_, end_ + share) - point;
@@ -411,7 +413,7 @@
 struct Homes {
     std::size_t self = 0, dispatchers = 1, count = 0, few = 4;
     bool own_order() const { return dispatchers > count; }
-    std::uint64_t place(std::uint64_t worker) const { return mixed(worker ^ mixed(self + 1)); }
+    std::uint64_t place(std::uint64_t worker) const { return mix64(worker ^ mix64(self + 1)); }
     bool has(std::size_t rank) const { return own_order() ? rank < few : rank * dispatchers / count == self; }
 };
 
--- a/src/scheduler/simulator_adapter/wire.cpp
+++ b/src/scheduler/simulator_adapter/wire.cpp
@@ -214,10 +214,10 @@
     out.probes = flag_or(limits, "probes", false);
     out.may_cancel = flag_or(limits, "cancel", false);
     out.second_copies = flag_or(limits, "second_copies", false);
-    out.takes_advice = flag_or(limits, "retry_after", false);
+    out.clients_honor_retry_after = flag_or(limits, "retry_after", false);
     out.marks_retry = flag_or(section(json, "clients"), "marks_retry", false);
     out.max_attempts = static_cast<Index>(integer_or(limits, "max_attempts", 1));
-    out.max_stay_away = duration_or(limits, "max_retry_after_ns");
+    out.max_retry_after = duration_or(limits, "max_retry_after_ns");
     out.cross_zone_price = number_or(section(json, "prices"), "cross_zone", 0);
     out.handshake_price = number_or(section(json, "prices"), "handshake", 0);
     out.probe_price = number_or(section(json, "prices"), "probe", 0);
@@ -419,7 +419,7 @@
         job.tenant = position(names_.tenants, to_text(*tenant, "org"));
     }
     if (find(event, "affinity") != nullptr) job.key = unsigned_or(event, "affinity", 0);
-    job.left = Duration(need_integer(event, "left_ns"));
+    job.time_left = Duration(need_integer(event, "left_ns"));
     job.hint = duration_or(event, "hint_ns");
     job.slots = number_or(event, "needs", 1);
     job.memory = number_or(event, "ram_units", 0);
@@ -466,7 +466,7 @@
         if (!job) return;
         job_names_[*job].over = true;
         touched_.push_back(*job);
-        events_.emplace_back(JobLeft{*job});
+        events_.emplace_back(JobAbandoned{*job});
     } else if (kind == "head_received") {
         if (const auto job = known_job(event)) {
             events_.emplace_back(AnswerBegun{*job, attempt(), worker(), duration_or(event, "latency_ns")});
@@ -515,7 +515,8 @@
                        [&](const Refuse& refuse) {
                            text("m", "push_back");
                            final_answer(refuse.job);
-                           if (refuse.stay_away.count() > 0) number("stay_away_ns", refuse.stay_away.count());
+                           if (refuse.retry_after.count() > 0)
+                               number("stay_away_ns", refuse.retry_after.count());
                        },
                        [&](const Fail& fail) {
                            text("m", "fail");
--- a/tests/scheduler/core/host_test.cpp
+++ b/tests/scheduler/core/host_test.cpp
@@ -29,9 +29,10 @@
                                   .give_up = 3s});
     }
     result.tick = 5ms;
-    result.may_cancel = result.second_copies = result.takes_advice = result.list_on_request = true;
+    result.may_cancel = result.second_copies = result.clients_honor_retry_after = result.list_on_request =
+        true;
     result.max_attempts = 4;
-    result.max_stay_away = 2s;
+    result.max_retry_after = 2s;
     result.list_valid = 10s;
     return result;
 }
--- a/tests/scheduler/dispatcher/decisions_test.cpp
+++ b/tests/scheduler/dispatcher/decisions_test.cpp
@@ -25,8 +25,8 @@
         settings.max_attempts = 4;
         settings.zones = 2;
         settings.cross_zone_price = crossing;
-        settings.takes_advice = true;
-        settings.max_stay_away = 2s;
+        settings.clients_honor_retry_after = true;
+        settings.max_retry_after = 2s;
         settings.list_valid = 10s;
         begin(settings, count, crossing > 0 ? 1 : 0);
     }
@@ -67,7 +67,9 @@
     static AttemptEnded lost(JobId id, WorkerId worker, Outcome outcome = Outcome::reset, Index attempt = 0) {
         return {.job = id, .attempt = attempt, .worker = worker, .outcome = outcome};
     }
-    static JobArrived job(JobId id, double slots = 1) { return {.job = id, .left = 60s, .slots = slots}; }
+    static JobArrived job(JobId id, double slots = 1) {
+        return {.job = id, .time_left = 60s, .slots = slots};
+    }
     AttemptEnded served(JobId id, double utilisation, double free_slots) const {
         return {.job = id,
                 .worker = to,
@@ -105,7 +107,7 @@
 TEST_CASE("one client that would wait for a day does not make all others look late") {
     Fleet fleet(1);
     JobArrived odd = Fleet::job(0);
-    odd.left = 24h;
+    odd.time_left = 24h;
     REQUIRE(fleet.at(10ms, {odd}) == 1);
     CHECK(fleet.at(20ms, {Fleet::job(1)}) == 1);
 }
@@ -123,7 +125,7 @@
         Fleet fleet(settings, 2);
         REQUIRE(fleet.at(10ms, {Fleet::job(0)}) == 1); // shows how long clients of this class wait
         JobArrived hasty = Fleet::job(1), again = Fleet::job(2);
-        hasty.left = again.left = 2s;
+        hasty.time_left = again.time_left = 2s;
         again.is_retry = true;
         CHECK(fleet.at(20ms, {hasty}) == (marks ? 1 : 0));
         CHECK(fleet.at(30ms, {again}) == 0);
@@ -266,14 +268,14 @@
                 {.effect = Effect::once, .aim = 2s, .give_up = 60s, .late_worth = 0.5, .kind = 1});
     JobArrived late = Fleet::job(0);
     late.job_class = 1; // of a kind that nobody is of
-    late.left = 10s;
+    late.time_left = 10s;
     REQUIRE(fleet.at(10ms, {late}) == 0);
     const Time then = fleet.answered<Refuse>(10ms, 20s);
     CHECK(then >= 7900ms); // its class runs for 2 s, as far as is known
     CHECK(then <= 8100ms);
     const auto* refuse = std::get_if<Refuse>(&fleet.actions.front());
     REQUIRE(refuse != nullptr);
-    CHECK(refuse->stay_away == 2s);
+    CHECK(refuse->retry_after == 2s);
 }
 
 // ---- What clients and workers may claim ----
@@ -316,33 +318,33 @@
     std::set<std::size_t> places;
     for (std::size_t kind = 0; kind < 30; ++kind)
         for (std::size_t zone = 0; zone < 30; ++zone)
-            CHECK(places.insert(load_estimates::group_of(kind, zone)).second);
+            CHECK(places.insert(load_estimates::group_index(kind, zone)).second);
     CHECK(*places.rbegin() < 60 * 60); // tables are as long as that
 }
 
 // Each job that a client would have waited a day for kept its entry for a day.
 TEST_CASE("what is to be looked at is no more than twice what lives, and comes in order") {
-    load_estimates::Agenda agenda;
+    load_estimates::TimerQueue agenda;
     std::set<std::uint64_t> alive;
-    const auto is_void = [&](const load_estimates::Agenda::Entry& entry) {
+    const auto is_void = [&](const load_estimates::TimerQueue::Entry& entry) {
         return !alive.contains(entry.serial);
     };
     for (std::uint64_t serial = 1; serial <= 20000; ++serial) {
         agenda.add({24h + serial * 1ms, serial, 0});
         alive.insert(serial);
         if (serial > 100) alive.erase(serial - 100);
-        CHECK_FALSE(agenda.due(serial * 1ms, is_void));
+        CHECK_FALSE(agenda.pop_due(serial * 1ms, is_void));
         REQUIRE(agenda.size() <= 2 * 100 + 512);
     }
     Time last{0};
     std::size_t seen = 0;
-    for (; const auto entry = agenda.due(48h, is_void); ++seen) {
+    for (; const auto entry = agenda.pop_due(48h, is_void); ++seen) {
         CHECK(alive.contains(entry->serial));
         CHECK(entry->at >= last);
         last = entry->at;
     }
     CHECK(seen == alive.size());
-    CHECK_FALSE(agenda.next());
+    CHECK_FALSE(agenda.next_time());
 }
 
 } // namespace willowrill::testing
--- a/tests/scheduler/dispatcher/instances_test.cpp
+++ b/tests/scheduler/dispatcher/instances_test.cpp
@@ -30,7 +30,7 @@
     if (const auto* send = std::get_if<Send>(&action))
         return "send " + number(send->job) + number(send->worker);
     if (const auto* refuse = std::get_if<Refuse>(&action))
-        return "refuse " + number(refuse->job) + number(refuse->stay_away.count());
+        return "refuse " + number(refuse->job) + number(refuse->retry_after.count());
     if (const auto* fail = std::get_if<Fail>(&action)) return "fail " + number(fail->job);
     if (const auto* cancel = std::get_if<Cancel>(&action))
         return "cancel " + number(cancel->job) + number(cancel->attempt);
@@ -71,7 +71,8 @@
         now += 5ms + std::chrono::milliseconds(a);
         if (what < 4) {
             out.push_back(
-                {now, {JobArrived{.job = next++, .job_class = a % 3, .left = 3s, .slots = 1.0 + b % 3}}});
+                {now,
+                 {JobArrived{.job = next++, .job_class = a % 3, .time_left = 3s, .slots = 1.0 + b % 3}}});
         } else if (what < 7 && next > 0) { // of an attempt that may not exist
             AttemptEnded ended{.job = b % next, .attempt = a % 2, .outcome = static_cast<Outcome>(a % 8)};
             ended.job_over = ended.outcome == Outcome::served;
--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -198,15 +198,15 @@
     net::Time now = 1s;
     for (int failures = 0; failures < 20; ++failures) {
         CAPTURE(failures);
-        REQUIRE(list.due(now, 10s, 1s, [] { return 0.0; }));
-        list.told(true, false);
-        CHECK_FALSE(list.due(now, 10s, 1s, [] { return 0.0; }));
-        REQUIRE(list.next());
-        CHECK(*list.next() - now <= load_estimates::longest_back_off);
-        now = *list.next();
+        REQUIRE(list.should_request(now, 10s, 1s, [] { return 0.0; }));
+        list.on_update(true, false);
+        CHECK_FALSE(list.should_request(now, 10s, 1s, [] { return 0.0; }));
+        REQUIRE(list.next_request_at());
+        CHECK(*list.next_request_at() - now <= load_estimates::max_back_off);
+        now = *list.next_request_at();
     }
-    CHECK(load_estimates::back_off_after(20, 0) == load_estimates::longest_back_off);
-    CHECK(load_estimates::back_off_after(20, 1) == load_estimates::longest_back_off / 2);
+    CHECK(load_estimates::back_off_after(20, 0) == load_estimates::max_back_off);
+    CHECK(load_estimates::back_off_after(20, 1) == load_estimates::max_back_off / 2);
 }
 
 // Its first call came up to 1.25 s after its start, where the changes since its former life count from there
@@ -215,9 +215,9 @@
     for (const auto grace : {50ms, 300ms, 1000ms}) {
         load_estimates::Subscription list;
         const auto last = [] { return 1.0; };
-        list.told(false, true); // the list of its former life
-        CHECK_FALSE(list.due(1s, 10s, grace, last));
-        CHECK(list.due(1s + grace / 2 + 1ms, 10s, grace, last));
+        list.on_update(false, true); // the list of its former life
+        CHECK_FALSE(list.should_request(1s, 10s, grace, last));
+        CHECK(list.should_request(1s + grace / 2 + 1ms, 10s, grace, last));
     }
 }
 
@@ -235,13 +235,13 @@
         const net::Time refused = rig.loop.now();
         discovery.peers[call]->connection.write(net::http::write_response(503, {}, ""));
         REQUIRE(rig.settle([&] { return discovery.peers.size() > call + 1; }));
-        CHECK(rig.loop.now() - refused >= load_estimates::first_back_off / 2);
+        CHECK(rig.loop.now() - refused >= load_estimates::initial_back_off / 2);
     }
     CHECK(watch.silences() == 1);
 }
 
 TEST_CASE("what discovery has at its return is heard before it counts as told, for all settings") {
-    const auto back_off = load_estimates::longest_back_off;
+    const auto back_off = load_estimates::max_back_off;
     for (const auto valid : {1s, 2s, 10s, 60s}) {
         for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
             const discovery_client::WatchTimes times = discovery_client::watch_times(valid, grace);
--- a/tests/scheduler/dispatcher/probing_test.cpp
+++ b/tests/scheduler/dispatcher/probing_test.cpp
@@ -35,9 +35,9 @@
     out.tells_start = true;
     out.reports_with_probes = out.probes = true;
     out.probe_price = 0.01;
-    out.may_cancel = out.second_copies = out.takes_advice = true;
+    out.may_cancel = out.second_copies = out.clients_honor_retry_after = true;
     out.max_attempts = 4;
-    out.max_stay_away = 2s;
+    out.max_retry_after = 2s;
     out.connection_idle = 5s;
     return out;
 }
@@ -48,7 +48,7 @@
     Fleet(const Settings& settings, WorkerId workers) : dispatcher_(settings), free_(workers, 6.0) {
         EndpointListUpdate list{EndpointListUpdate::Kind::complete, {}};
         for (WorkerId id = 0; id < workers; ++id)
-            list.entries.push_back({.worker = id, .key = load_estimates::mixed(id + 1), .zone = id % 5});
+            list.entries.push_back({.worker = id, .key = load_estimates::mix64(id + 1), .zone = id % 5});
         step({list});
     }
     void step(std::vector<Event> events = {}) {
@@ -87,7 +87,7 @@
     // Gives a job in and says where it went, if it went at once.
     WorkerId give(JobId id, std::optional<std::uint64_t> key = {}, Duration hint = 500ms) {
         const std::size_t before = sends.size();
-        step({JobArrived{.job = id, .key = key, .left = 6s, .hint = hint}});
+        step({JobArrived{.job = id, .key = key, .time_left = 6s, .hint = hint}});
         return sends.size() > before ? sends.back().worker : none;
     }
     void served(const Send& send, Duration latency = 500ms) {
@@ -342,20 +342,20 @@
 TEST_CASE(
     "what was sent at the moment of a report is taken off X at its end, and what was sent before off L") {
     load_estimates::Worker worker;
-    worker.sent(1, 0.25);
-    const load_estimates::Attempt before{.worker = 0, .sent = 1s, .step = 0.25};
-    worker.report(0.5, 2s);
-    worker.sent(1, 0.25);
-    const load_estimates::Attempt with{.worker = 0, .sent = 2s, .step = 0.25};
-    worker.ended(1);
-    worker.ended_untold(with, 1, 0.25);
+    worker.record_send(1, 0.25);
+    const load_estimates::Attempt before{.worker = 0, .sent = 1s, .load_increment = 0.25};
+    worker.record_report(0.5, 2s);
+    worker.record_send(1, 0.25);
+    const load_estimates::Attempt with{.worker = 0, .sent = 2s, .load_increment = 0.25};
+    worker.record_end(1);
+    worker.record_end_without_report(with, 1, 0.25);
     CHECK(worker.sent_slots == 0);
     CHECK(worker.degradation == 0);
     CHECK(worker.load == doctest::Approx(0.5));
-    worker.ended(1);
-    worker.ended_untold(before, 1, 0.25);
+    worker.record_end(1);
+    worker.record_end_without_report(before, 1, 0.25);
     CHECK(worker.load == doctest::Approx(0.25));
-    CHECK(worker.own_slots == 0);
+    CHECK(worker.outstanding_slots == 0);
 }
 
 // It was asked again while the first question was out, and one connection bore both.
--- a/tests/scheduler/dispatcher/property_test.cpp
+++ b/tests/scheduler/dispatcher/property_test.cpp
@@ -524,7 +524,7 @@
     };
     // One job at each, all idle, so that each has reported and all slots are known.
     for (WorkerId id = 0; id < count; ++id) {
-        const auto sends = handle({JobArrived{.job = next++, .left = 60s}});
+        const auto sends = handle({JobArrived{.job = next++, .time_left = 60s}});
         RC_ASSERT(sends.size() == 1U);
         out.push_back({sends[0].job, 0, sends[0].worker});
         tried[sends[0].job] = {sends[0].worker};
@@ -537,7 +537,7 @@
              rc::gen::pair(rc::gen::inRange(0U, 100U), rc::gen::inRange(0U, 8U)))) {
         if (what < 60 || out.empty()) {
             tried[next] = {};
-            for (const Send& send : handle({JobArrived{.job = next, .left = 60s}})) {
+            for (const Send& send : handle({JobArrived{.job = next, .time_left = 60s}})) {
                 if (send.job == next) ++sent;
                 chosen(send);
             }
--- a/tests/scheduler/dispatcher/random_test.cpp
+++ b/tests/scheduler/dispatcher/random_test.cpp
@@ -78,9 +78,9 @@
                 ++id;
             JobArrived in = job(id, static_cast<Index>(below(settings_.classes.size())),
                                 1.0 + static_cast<double>(below(3)));
-            in.left = Duration(static_cast<std::int64_t>(1 + below(4'000'000'000)));
+            in.time_left = Duration(static_cast<std::int64_t>(1 + below(4'000'000'000)));
             jobs_[id] = {.job_class = in.job_class, .slots = in.slots};
-            ledger_.arrived(0, id, in.job_class, now_ + in.left);
+            ledger_.arrived(0, id, in.job_class, now_ + in.time_left);
             events.emplace_back(in);
         }
     }
@@ -89,7 +89,7 @@
         for (auto& [id, job] : jobs_) {
             if (ledger_.open(0, id) && chance(0.001)) {
                 ledger_.left(0, id);
-                events.emplace_back(JobLeft{id});
+                events.emplace_back(JobAbandoned{id});
             }
             for (Index i = 0; i < job.out.size(); ++i) {
                 if (job.out[i] == none) continue;
@@ -118,7 +118,7 @@
             ledger_.sent(0, send->job, send->worker, now_, job.slots * 0.1); // what each job here runs for
             job.out.push_back(send->worker);
         } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-            ledger_.refused(0, refuse->job, now_, refuse->stay_away);
+            ledger_.refused(0, refuse->job, now_, refuse->retry_after);
         } else if (const auto* fail = std::get_if<Fail>(&action)) {
             ledger_.failed(0, fail->job, now_);
         } else if (std::holds_alternative<WatchList>(action)) {
--- a/tests/scheduler/dispatcher/rules_test.cpp
+++ b/tests/scheduler/dispatcher/rules_test.cpp
@@ -223,7 +223,7 @@
     Stand stand;
     stand.at(0s, {whole_list(2), job(0)});
     const auto actions =
-        stand.at(1s, {JobLeft{0}, ended(0, 0, stand.last_worker(), Outcome::connect_failed)});
+        stand.at(1s, {JobAbandoned{0}, ended(0, 0, stand.last_worker(), Outcome::connect_failed)});
     EXPECT_TRUE(all<Send>(actions).empty() && all<Fail>(actions).empty() && all<Refuse>(actions).empty());
 }
 
@@ -475,7 +475,7 @@
         actions.insert(actions.end(), more.begin(), more.end());
     }
     ASSERT_EQ(all<Refuse>(actions).size(), 1U);
-    EXPECT_GT(all<Refuse>(actions)[0].stay_away, 0s);
+    EXPECT_GT(all<Refuse>(actions)[0].retry_after, 0s);
 }
 
 // A burst left queues of jobs that all came late, and so did whatever came behind them, long after it was
@@ -499,7 +499,7 @@
         ASSERT_EQ(all<Refuse>(actions).size(), of_class == 0 ? 1U : 0U);
         EXPECT_EQ(all<Fail>(actions).size(), of_class == 0 ? 0U : 1U); // it may have run: no refusal
         for (const Refuse& refusal : all<Refuse>(actions))
-            EXPECT_GT(refusal.stay_away, 0s);
+            EXPECT_GT(refusal.retry_after, 0s);
     }
 }
 
--- a/tests/scheduler/dispatcher/scale_test.cpp
+++ b/tests/scheduler/dispatcher/scale_test.cpp
@@ -109,14 +109,14 @@
         std::vector<Time> arrived;
     };
 
-    double random() { return load_estimates::unit(random_()); }
+    double random() { return load_estimates::to_unit_interval(random_()); }
 
     void arrive(Index of_class, double per_s) {
         for (double due = per_s * load_estimates::seconds(tick); random() < due; due -= 1) {
             Node& node = nodes_[static_cast<std::size_t>(random() * static_cast<double>(nodes_.size()))];
             const JobArrived job{.job = static_cast<JobId>(node.jobs.size()),
                                  .job_class = of_class,
-                                 .left = of_class == once ? Duration(5s) : Duration(25s)};
+                                 .time_left = of_class == once ? Duration(5s) : Duration(25s)};
             node.jobs.push_back(job);
             node.arrived.push_back(now);
             node.events.emplace_back(job);
@@ -214,7 +214,7 @@
     std::vector<WorkerEntry> out;
     for (WorkerId id = first; id < first + count; ++id) {
         out.push_back({.worker = id,
-                       .key = load_estimates::mixed(id + 1),
+                       .key = load_estimates::mix64(id + 1),
                        .up_since = up_since,
                        .kind = id % 2,
                        .zone = id / 2 % 2,
@@ -239,10 +239,10 @@
     std::array<int, 5> fell{};
     int most = 0, least = 5;
     for (int i = 0; i < points; ++i) {
-        load_estimates::Shares shares;
+        load_estimates::SystematicSampler shares;
         int here = 0;
         for (std::size_t taker = 0; taker < fell.size(); ++taker) { // due 0.1 of work each, of 1 that comes
-            if (!shares.falls_to_next(0.1, 1e9, 1, (i + 0.5) / points)) continue;
+            if (!shares.select_next(0.1, 1e9, 1, (i + 0.5) / points)) continue;
             ++fell[taker];
             ++here;
         }
@@ -252,17 +252,17 @@
     for (const int one : fell)
         CHECK(one == doctest::Approx(points / 10.0).epsilon(0.01));
     for (int i = 0; i < points; ++i) {
-        load_estimates::Shares shares;
+        load_estimates::SystematicSampler shares;
         int here = 0;
         for (int taker = 0; taker < 5; ++taker)
-            here += shares.falls_to_next(0.5, 1e9, 1, (i + 0.5) / points) ? 1 : 0;
+            here += shares.select_next(0.5, 1e9, 1, (i + 0.5) / points) ? 1 : 0;
         least = std::min(least, here);
         most = std::max(most, here);
     }
     CHECK(least == 2); // 2.5 times the whole
     CHECK(most == 3);
-    load_estimates::Shares shares; // closed for half of the time: twice as open else
-    CHECK(shares.falls_to_next(0.1, 0.2, 1, 0.19));
+    load_estimates::SystematicSampler shares; // closed for half of the time: twice as open else
+    CHECK(shares.select_next(0.1, 0.2, 1, 0.19));
 }
 
 // With 100 schedulers each had a turn worth a job at a cold worker in 70 windows, and used few of them: 18
@@ -294,7 +294,7 @@
         std::vector<WorkerEntry> list = fleet_of(6);
         World world(n, list);
         world.run_until(5s, 60, 4);
-        list.push_back({.worker = 6, .key = load_estimates::mixed(7), .up_since = 5s, .kind = 0, .cell = 1});
+        list.push_back({.worker = 6, .key = load_estimates::mix64(7), .up_since = 5s, .kind = 0, .cell = 1});
         world.workers.push_back({.entry = list.back()});
         world.tell(EndpointListUpdate::Kind::changes, {list.back()});
         for (Time at = 5s; at < 11s; at += 300ms) {
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -75,7 +75,7 @@
     CHECK(decisions.list_on_request);
     CHECK_FALSE(decisions.probes);
     CHECK(decisions.reports_with_probes);
-    CHECK(decisions.takes_advice);
+    CHECK(decisions.clients_honor_retry_after);
     REQUIRE(decisions.classes.size() == 2);
     CHECK(decisions.classes[0].effect == willowrill::Effect::once);
     CHECK(decisions.classes[0].kind == willowrill::none);
@@ -210,7 +210,7 @@
             std::vector<willowrill::Event> events{
                 EndpointListUpdate{EndpointListUpdate::Kind::complete, {{.worker = 0, .key = 1}}}};
             for (willowrill::Index c = 0; c < settings.classes.size(); ++c)
-                events.emplace_back(willowrill::JobArrived{.job = c, .job_class = c, .left = 1s});
+                events.emplace_back(willowrill::JobArrived{.job = c, .job_class = c, .time_left = 1s});
             std::vector<willowrill::Action> actions;
             dispatcher.handle(1s, events, actions);
             dispatcher.handle(3s, {}, actions);
--- a/tests/scheduler/support/bench.h
+++ b/tests/scheduler/support/bench.h
@@ -30,9 +30,9 @@
     out.reports_with_answers = true;
     out.may_cancel = true;
     out.second_copies = true;
-    out.takes_advice = true;
+    out.clients_honor_retry_after = true;
     out.max_attempts = 4;
-    out.max_stay_away = 2s;
+    out.max_retry_after = 2s;
     out.answer_slack = 20ms;
     out.drain_grace = 500ms;
     out.list_valid = 10s;
@@ -56,7 +56,7 @@
 }
 
 inline JobArrived job(JobId id, Index of_class = 0, double slots = 1) {
-    return {.job = id, .job_class = of_class, .left = 5s, .slots = slots};
+    return {.job = id, .job_class = of_class, .time_left = 5s, .slots = slots};
 }
 
 class Stand {
--- a/tests/scheduler/support/ledger.h
+++ b/tests/scheduler/support/ledger.h
@@ -24,9 +24,9 @@
     out.zone = self % 2;
     out.tick = 5ms;
     out.list_on_request = out.reports_with_answers = true;
-    out.may_cancel = out.second_copies = out.takes_advice = true;
+    out.may_cancel = out.second_copies = out.clients_honor_retry_after = true;
     out.max_attempts = 4;
-    out.max_stay_away = 2s;
+    out.max_retry_after = 2s;
     out.connection_idle = 5s;
     out.answer_slack = 20ms;
     out.drain_grace = 1s;
@@ -97,9 +97,9 @@
         const bool harmless = c.effect == Effect::repeatable ||
                               (c.effect == Effect::keyed && c.repeat_scope == RepeatScope::all);
         if (!harmless && first_that_may_have_run(job) != nullptr) say("refused what may have run", self, id);
-        if (settings_.takes_advice && stay_away <= Duration(0))
+        if (settings_.clients_honor_retry_after && stay_away <= Duration(0))
             say("refused without saying when to come back", self, id);
-        if (stay_away > settings_.max_stay_away) say("sent away for longer than clients heed", self, id);
+        if (stay_away > settings_.max_retry_after) say("sent away for longer than clients heed", self, id);
     }
     // `work`: what it will be at the worker, in slot-seconds.
     void sent(Index self, JobId id, WorkerId to, Time now, double work) {
