--- a/include/willowrill/dispatcher.h
+++ b/include/willowrill/dispatcher.h
@@ -1,8 +1,8 @@
-// The whole interface of willowrill: settings, events, actions and the dispatcher that turns one into the
-// other. A host feeds `Dispatcher::handle` with what has happened and carries out the actions in their order.
+// Public interface of willowrill: settings, events, actions, and the dispatcher that turns events into
+// actions. A host passes events to `Dispatcher::handle` and carries out the returned actions in order.
 //
-// The library keeps no clock, does no I/O, starts no thread and has no global state. Time is what the host
-// says it is: nanoseconds since an origin of its choice, never going back.
+// The library reads no clock, does no I/O, starts no threads and has no global state. The host supplies the
+// time as nanoseconds since an origin of its choice; it must never go backwards.
 #pragma once
 
 #include <chrono>
@@ -19,9 +19,10 @@
 using Duration = std::chrono::nanoseconds;
 using Time = std::chrono::nanoseconds;
 
-// Ids are small and dense, so that tables are indexed by them. The host picks them. A worker keeps its id for
-// as long as the dispatcher lives. A job's id may be given to a new job once the old one has had its final
-// answer and all its attempts have ended. Classes, tenants, zones and kinds are positions in the settings.
+// Ids are assigned by the host. They must be small and dense, because they index tables. A worker keeps its
+// id for the lifetime of the dispatcher. A job id may be reused once the job has had its final answer and all
+// its attempts have ended. Classes, tenants, zones and kinds are identified by their positions in the
+// settings.
 using WorkerId = std::uint32_t;
 using JobId = std::uint32_t;
 using Index = std::uint32_t;
@@ -29,82 +30,83 @@
 
 // ---- Settings ------------------------------------------------------------------------------------------
 
-// What a second run of a job would do.
+// The effect of running a job a second time.
 enum class Effect {
-    repeatable, // harmless
-    keyed,      // dropped by the workers that remember the first run (`RepeatScope`, `repeat_window`)
-    once        // real damage
+    repeatable, // harmless: the job is idempotent
+    keyed,      // deduplicated by the workers that know of the first run (`RepeatScope`, `repeat_window`)
+    once        // harmful: the job must run at most once
 };
 
-// Which workers drop repeats of a keyed job: all, those of one zone, or those of one cell.
+// Which workers deduplicate repeats of a keyed job: all, those of the same zone, or those of the same cell.
 enum class RepeatScope { all, zone, cell };
 
 struct JobClass {
     Effect effect = Effect::once;
     RepeatScope repeat_scope = RepeatScope::all;
     Duration repeat_window{0};
-    Duration aim{0};        // an answer by then earns the full worth ...
-    double aim_stretch = 0; // ... the aim grows by this multiple of the job's own running time
-    Duration give_up{0};    // how long a client waits in all
+    Duration aim{0};        // target latency: an answer within it earns the full worth
+    double aim_stretch = 0; // the target grows by this multiple of the job's own running time
+    Duration give_up{0};    // total time after which a client gives up waiting
     double worth = 1;
-    double late_worth = 0; // share of the worth for an answer past the aim
-    Index kind = none;     // the one kind of worker that runs this class, or none for any
+    double late_worth = 0; // fraction of the worth earned by an answer after the target latency
+    Index kind = none;     // the only kind of worker that runs this class; `none` for any kind
 };
 
 struct Tenant {
     double share = 0;
-    double quota_per_s = 0; // jobs a second, over all dispatchers, inside its share
+    double quota_per_s = 0; // jobs per second over all dispatchers that count as within the share
 };
 
 struct Settings {
     std::uint64_t seed = 0;
-    Index self = 0;        // this dispatcher's number among them, from 0
-    Index dispatchers = 1; // how many there are
-    Index zone = 0;        // where this dispatcher is
+    Index self = 0;        // index of this dispatcher, from 0
+    Index dispatchers = 1; // number of dispatchers
+    Index zone = 0;        // zone of this dispatcher
     Index zones = 1;
     Index kinds = 1;
     std::vector<JobClass> classes;
     std::vector<Tenant> tenants;
-    double over_quota_worth = 1;  // share of the worth that a job beyond its tenant's quota earns
-    bool worth_by_work = false;   // worth is counted per unit of work, not per job
-    Duration tick{0};             // the host calls `handle` at most this often
-    bool list_on_request = false; // the worker list comes only when asked for
-    bool tells_start = false;     // workers say when a job starts
-    Duration progress_period{0};  // time between progress notes; 0 for none
-    bool reports_with_answers = false;
-    bool reports_with_probes = false; // the answer to a probe carries a load report
+    double over_quota_worth = 1;       // fraction of the worth earned by a job beyond its tenant's quota
+    bool worth_by_work = false;        // worth counts per unit of work instead of per job
+    Duration tick{0};                  // minimum interval between calls of `handle`
+    bool list_on_request = false;      // the worker list is sent only on request
+    bool tells_start = false;          // workers report when a job starts
+    Duration progress_period{0};       // interval of progress reports; 0 if there are none
+    bool reports_with_answers = false; // the answer to a job carries a load report
+    bool reports_with_probes = false;  // the answer to a probe carries a load report
     bool reports_load() const { return reports_with_answers || reports_with_probes; }
 
-    // What the site allows.
+    // Capabilities and limits of the deployment.
     bool may_cancel = false;
-    bool second_copies = false;             // two attempts of a job may be out at once
-    bool clients_honor_retry_after = false; // clients receive `Refuse::retry_after`
-    bool marks_retry = false;               // clients say of each later try that it is one
-    bool probes = false;                    // workers may be asked how they are
+    bool second_copies = false;             // two attempts of a job may be in flight at once
+    bool clients_honor_retry_after = false; // clients honor `Refuse::retry_after`
+    bool marks_retry = false;               // clients mark retries as such
+    bool probes = false;                    // workers may be probed for their load
     Index max_attempts = 1;
     Duration max_retry_after{0};
     double cross_zone_price = 0, handshake_price = 0;
-    double probe_price = 0;      // of one probe for each job, as a share of all worth
-    Duration connect_timeout{0}; // a connection that is not made by then never comes up
-    Duration connection_idle{0}; // a connection that has carried nothing for so long is closed
-
-    // The figures of the four rules.
-    Duration answer_slack{0};     // a final answer still counts this long past the deadline
-    Duration drain_grace{0};      // sends to a draining or gone worker must stop within this
-    Duration list_valid{0};       // without a subscription, the list must be asked for this often
-    Duration cold_time{0};        // a worker is warm this long after its start
-    double cold_capacity = 1;     // and starts at this share of its capacity or more
-    double overload_multiple = 0; // sent more than this multiple of its present capacity ...
-    Duration overload_time{0};    // ... for this long, a cold worker falls over
+    double probe_price = 0;      // of one probe per job, as a fraction of the total worth
+    Duration connect_timeout{0}; // a connection not established by then has failed
+    Duration connection_idle{0}; // a connection idle for this long is closed
+
+    // Limits of the four rules: one final answer in time (1), no effect twice (2), drains are respected (3),
+    // no cold worker is overloaded (4).
+    Duration answer_slack{0};     // a final answer still counts until this long after the deadline
+    Duration drain_grace{0};      // sends to a draining or gone worker must stop within this time
+    Duration list_valid{0};       // without a subscription, the list must be requested at least this often
+    Duration cold_time{0};        // a worker counts as warm this long after its start
+    double cold_capacity = 1;     // lower bound of its capacity at its start, as a fraction of the full one
+    double overload_multiple = 0; // a cold worker fails if more than this multiple of its capacity is sent
+    Duration overload_time{0};    // to it for longer than this time
 };
 
 // ---- Events --------------------------------------------------------------------------------------------
 
-// A worker's load report. A site fills in a few of the fields.
+// A worker's load report. A deployment fills in only some of the fields.
 struct Report {
-    std::optional<double> utilisation{}; // share of its cores in use
+    std::optional<double> utilisation{}; // fraction of its cores in use
     std::optional<double> queued{};      // jobs waiting
-    std::optional<double> in_flight{};   // jobs it holds
+    std::optional<double> in_flight{};   // jobs it holds, running or waiting
     std::optional<double> free_slots{};
     std::optional<double> free_memory{};
     std::optional<double> service_ms{}; // recent service time
@@ -116,18 +118,19 @@
 
 enum class Condition { ready, draining, gone };
 
-// A key for `WorkerEntry` from a worker's name or address: FNV-1a, the same everywhere.
+// Derives the key of a `WorkerEntry` from a worker's name or address: FNV-1a, so that all dispatchers agree.
 constexpr std::uint64_t key_of(std::string_view name) {
-    std::uint64_t out = 0xcbf29ce484222325ULL;
+    std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : name)
-        out = (out ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    return out;
+        hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+    return hash;
 }
 
+// A worker in the worker list.
 struct WorkerEntry {
     WorkerId worker = 0;
-    std::uint64_t key = 0; // the same at every dispatcher: a hash of its address, say
-    Time up_since{0};      // when it last started; 0 for long ago
+    std::uint64_t key = 0; // equal at every dispatcher, for example a hash of the address
+    Time up_since{0};      // time of the last start; 0 if long ago
     Index kind = 0;
     Index zone = 0;
     Index cell = 0;
@@ -135,13 +138,14 @@
     double weight = 1;
 };
 
+// How an attempt or a probe has ended.
 enum class Outcome {
     served,
     error,          // the worker answered with an error; the job may have run
-    full,           // turned away unseen: it never ran
+    full,           // rejected before it was started: never ran
     timed_out,      // may have run or be running
     connect_failed, // never ran
-    reset,          // the connection broke; may have run
+    reset,          // the connection was lost; may have run
     cancelled,      // may have run
     not_sent        // never ran
 };
@@ -150,44 +154,47 @@
     return outcome != Outcome::full && outcome != Outcome::connect_failed && outcome != Outcome::not_sent;
 }
 
-// The list of workers: changes, a complete list, the complete list as last held before a restart, or word
-// that a request for the list failed or the subscription broke.
+// An update of the worker list: changes, a complete list, the complete list saved before a restart
+// (`remembered`), or the failure of a list request or of the subscription (`broken`).
 struct EndpointListUpdate {
     enum class Kind { changes, complete, remembered, broken } kind = Kind::changes;
     std::vector<WorkerEntry> entries{};
 };
 
+// A client has sent a job, or has sent it again.
 struct JobArrived {
     JobId job = 0;
     Index job_class = 0;
     Index tenant = none;
-    std::optional<std::uint64_t> key{}; // what the job is about
-    Duration time_left{0};              // until the client gives this try up
-    Duration hint{0};                   // rough running time, 0 where there is none
+    std::optional<std::uint64_t> key{}; // the data that the job needs, for affinity
+    Duration time_left{0};              // until the client gives up this try
+    Duration hint{0};                   // estimated running time; 0 if unknown
     double slots = 1;
     double memory = 0;
     bool is_retry = false;
 };
 
-// The client has left, or the answer is overdue: nothing is owed any more.
+// The client has disconnected, or the answer is overdue: the job needs no answer any more.
 struct JobAbandoned {
     JobId job = 0;
 };
 
+// A worker reports that it has started to run an attempt.
 struct AttemptStarted {
     JobId job = 0;
     Index attempt = 0;
     WorkerId worker = 0;
 };
 
+// A worker reports the progress of an attempt.
 struct AttemptProgress {
     JobId job = 0;
     Index attempt = 0;
     WorkerId worker = 0;
-    double done = 0; // share of the job
+    double done = 0; // fraction of the job completed
 };
 
-// A streamed answer has begun; the attempt is now the client's and no deadline runs.
+// The attempt has begun to stream its answer to the client. Deadlines no longer apply to the job.
 struct AnswerBegun {
     JobId job = 0;
     Index attempt = 0;
@@ -195,17 +202,19 @@
     Duration latency{0};
 };
 
+// An attempt has ended, with or without an answer of the worker.
 struct AttemptEnded {
     JobId job = 0;
     Index attempt = 0;
     WorkerId worker = 0;
     Outcome outcome = Outcome::served;
     Duration latency{0};
-    bool job_over = false; // the client has its final answer, through this outcome or earlier
+    bool job_over = false; // the client has its final answer, by this outcome or an earlier one
     std::optional<Report> report{};
 };
 
-// The answer to a `Probe`; one for each. A probe that was refused, was late or made no sense has no report.
+// The result of a `Probe`; there is exactly one for each. It has no report if the probe was refused, timed
+// out or got an invalid answer.
 struct Probed {
     WorkerId worker = 0;
     Outcome outcome = Outcome::served;
@@ -213,7 +222,7 @@
     std::optional<Report> report{};
 };
 
-// The time of an earlier `Wake` has come.
+// The time of an earlier `Wake` has been reached.
 struct TimerExpired {};
 
 using Event = std::variant<EndpointListUpdate, JobArrived, JobAbandoned, AttemptStarted, AttemptProgress,
@@ -226,18 +235,18 @@
     JobId job = 0;
     WorkerId worker = 0;
     Duration time_out{0}; // 0: until the client gives up
-    // Not to be begun after this time, however late its connection comes up: a repeat that must stay within
-    // the window in which its workers know it again.
+    // The attempt must not start after this time, even if its connection is established later. It keeps a
+    // repeat within the window in which workers deduplicate it.
     Time begin_by = Time::max();
 };
 
-// Final answer: turned away, trying again is harmless.
+// Final answer: refused. A retry by the client is harmless.
 struct Refuse {
     JobId job = 0;
-    Duration retry_after{0}; // how long the client should wait; 0 for no advice
+    Duration retry_after{0}; // how long the client should wait before a retry; 0 for no advice
 };
 
-// Final answer: failed, with no promise about the effect.
+// Final answer: failed. The job may or may not have run.
 struct Fail {
     JobId job = 0;
 };
@@ -248,12 +257,13 @@
     Index attempt = 0;
 };
 
-// Ask a worker for its load. A worker is asked once at a time.
+// Ask a worker for its load. A worker has at most one probe in flight.
 struct Probe {
     WorkerId worker = 0;
 };
 
-// Send a `TimerExpired` at this time. Only the earliest wish counts; a later one need not be remembered.
+// Send a `TimerExpired` at this time. Only the earliest pending `Wake` counts; the host may forget later
+// ones.
 struct Wake {
     Time at{0};
 };
@@ -267,6 +277,7 @@
 
 // ---- The dispatcher ------------------------------------------------------------------------------------
 
+// Decides which worker runs each job. Not thread-safe: calls must not overlap.
 class Dispatcher {
   public:
     explicit Dispatcher(Settings settings);
@@ -274,11 +285,11 @@
     Dispatcher(Dispatcher&&) noexcept;
     Dispatcher& operator=(Dispatcher&&) noexcept;
 
-    // Takes in all events of one moment, in the order in which they arrived, and appends what is to be done.
+    // Processes all events of one instant, in order of arrival, and appends the resulting actions.
     void handle(Time now, std::span<const Event> events, std::vector<Action>& actions);
 
-    // How many workers of the list no job goes to at this time: they drain, rest after failures, or were
-    // full.
+    // Number of listed workers that currently receive no jobs: they are draining, backed off after failures,
+    // or were full.
     std::size_t excluded(Time now) const;
 
   private:
