--- a/src/scheduler/load_estimates/books.h
+++ b/src/scheduler/load_estimates/books.h
@@ -1,5 +1,6 @@
-// What the module writes down of workers, attempts and jobs, and of its subscription to the list. Plain
-// books: they keep what they are told and what follows from it by sums, and know neither rules nor time.
+// State that the dispatcher keeps of workers, attempts and jobs, and of its subscription to the worker list.
+// These types record events and derive quantities from them; they make no dispatch decisions and read no
+// clock.
 #pragma once
 
 #include "common/policy/score.h"
@@ -15,92 +16,98 @@
 
 namespace willowrill::load_estimates {
 
-constexpr double usual_at_first = 0.5; // a load, while none is known
+constexpr double initial_load = 0.5; // assumed until a load is known
 
+// One send of a job to a worker.
 struct Attempt {
     WorkerId worker = 0;
     Time sent{0};
-    double load_increment = 0; // what it added to X
-    bool opens = false;        // the connection it goes on
-    bool away = false;         // not at a holder of its key
-    Time started_at{-1};       // negative: no word of its start came
-    bool out = true, started = false, cancelled = false, may_have_run = true;
-    bool stuck = false; // out for so long that it must be waiting at its worker
+    double load_increment = 0;     // what it added to X
+    bool opens_connection = false; // it has no open connection to use
+    bool off_holder = false;       // its worker does not hold the job's key
+    Time started_at{-1};           // negative: no start reported
+    bool in_flight = true, started = false, cancelled = false, may_have_run = true;
+    bool stuck = false; // in flight for so long that it must be waiting at its worker
 };
 
+// What a dispatcher knows of a worker. `home`: one of the workers that this dispatcher prefers.
 struct Worker {
     WorkerEntry entry;
     bool ready = false, home = false;
-    double load = 0;        // L: last reported load, in shares of its slots
-    double degradation = 0; // X
-    double sent_slots = 0;  // what X stands for, in slots: sent since the last fresh report
-    Time reported_at{-1};   // when L came; negative for never
+    double load = 0;        // L: last reported load, as a fraction of its slots
+    double degradation = 0; // X: load sent since the last fresh report
+    double sent_slots = 0;  // X in slots
+    Time reported_at{-1};   // time of L; negative: never
     std::optional<Report> last_report{};
-    Time changed_at{0};           // when it came first
-    Time connected_until{0};      // a connection that has served is kept so long at the least
-    double outstanding_slots = 0; // slots of this dispatcher's attempts that are out
-    double stuck_slots = 0;       // of these, slots of attempts that ought to have started by now
-    int strikes = 0;
-    Time full_until{0}, rest_until{0}, trusted_from{0};
-    Window cold_sends;  // work
-    Pace pace{};        // by jobs with hints
-    bool asked = false; // a probe is out
-    Time asked_at{0};
-
-    // Workers of one kind and zone are alike: what is known of one holds for others.
+    Time report_changed_at{0};    // when `last_report` was first received
+    Time connected_until{0};      // a connection that has served is kept at least until then
+    double outstanding_slots = 0; // slots of this dispatcher's attempts in flight
+    double stuck_slots = 0;       // of these, slots of attempts that should have started by now
+    int failures = 0;             // recent failures; determines the back-off
+    Time full_until{0}, back_off_until{0}, trusted_from{0};
+    SlidingWindowSum cold_sends; // work sent, in slot-seconds
+    Slowdown slowdown{};         // learned from jobs with hints
+    bool probe_in_flight = false;
+    Time probed_at{0};
+
+    // Workers of one kind and zone are considered alike: estimates learned from one apply to the others.
     std::size_t group() const { return group_index(entry.kind, entry.zone); }
-    Runs::Place place() const { return {entry.kind, group()}; }
+    RunTimes::GroupKey group_key() const { return {entry.kind, group()}; }
     bool is_cold(Time now, Time cold_time) const {
         return entry.up_since > Time(0) && now - entry.up_since < cold_time;
     }
-    // What a cold one can do, as a share: from that of its start evenly up to all.
-    double warmth(Time at, Time cold_time, double from) const {
-        return from + (1 - from) * std::max(0.0, seconds(at - entry.up_since) / seconds(cold_time));
+    // Fraction of its capacity that a cold worker has. It grows linearly to 1, from `initial_warmth` at the
+    // start of the worker.
+    double warmth(Time at, Time cold_time, double initial_warmth) const {
+        return initial_warmth +
+               (1 - initial_warmth) * std::max(0.0, seconds(at - entry.up_since) / seconds(cold_time));
     }
 
-    // A new process at its place: what was learnt is void, and what is out still is.
-    Worker anew() const {
-        Worker out;
-        out.outstanding_slots = outstanding_slots;
-        out.asked = asked;
-        out.asked_at = asked_at;
-        return out;
+    // Returns the state after a restart of the worker's process: estimates are void, but attempts and probes
+    // are still in flight.
+    Worker restarted() const {
+        Worker fresh;
+        fresh.outstanding_slots = outstanding_slots;
+        fresh.probe_in_flight = probe_in_flight;
+        fresh.probed_at = probed_at;
+        return fresh;
     }
-    bool rests(Time now) const { return now < rest_until; }
-    bool is_full(Time now) const { return now >= rest_until && now < full_until; }
-    void rest(Time now, Time span, int wary_spans) {
-        rest_until = now + span;
-        trusted_from = now + wary_spans * span;
+    bool is_backed_off(Time now) const { return now < back_off_until; }
+    bool is_full(Time now) const { return now >= back_off_until && now < full_until; }
+    // For `distrust_factor` times as long, the worker gets no jobs that must not run twice.
+    void back_off(Time now, Time duration, int distrust_factor) {
+        back_off_until = now + duration;
+        trusted_from = now + distrust_factor * duration;
     }
-    void proved_well(Time now) {
-        strikes /= 2;
-        if (strikes == 0) trusted_from = now;
+    void record_success(Time now) {
+        failures /= 2;
+        if (failures == 0) trusted_from = now;
     }
-    bool ask(Time now) { // false: a probe is out already
-        asked_at = now;
-        return !std::exchange(asked, true);
+    bool begin_probe(Time now) { // false: a probe is in flight already
+        probed_at = now;
+        return !std::exchange(probe_in_flight, true);
     }
 
-    void record_report(double l, Time now) {
-        load = std::max(0.0, l);
+    void record_report(double reported_load, Time now) {
+        load = std::max(0.0, reported_load);
         degradation = sent_slots = 0;
         reported_at = now;
     }
-    // A worker whose reports have stopped repeats its last one for good: the same figures, noise and all, for
-    // longer than any report lives are not news.
-    bool is_news(const Report& told, Time now, Time lives) {
-        if (std::exchange(last_report, told) != told) changed_at = now;
-        return now - changed_at <= lives;
+    // A worker that no longer updates its report keeps sending the last one. A report that has been
+    // identical, including its noise, for longer than `max_age` is stale.
+    bool is_fresh(const Report& report, Time now, Time max_age) {
+        if (std::exchange(last_report, report) != report) report_changed_at = now;
+        return now - report_changed_at <= max_age;
     }
-    // What the last report still counts for; one so old counts for half. A cold worker not heard of counts as
-    // empty: whoever has its chance there is one of few.
-    double told(Time now, bool cold, double half_s) const {
+    // Weight of the last report, halved at an age of `half_age_s`. A cold worker without a report counts as
+    // empty, with full weight, because few dispatchers may send to it at all.
+    double report_weight(Time now, bool cold, double half_age_s) const {
         if (reported_at < Time(0)) return cold ? 1 : 0;
-        return half_s / (half_s + seconds(now - reported_at));
+        return half_age_s / (half_age_s + seconds(now - reported_at));
     }
-    // A load that counts what is known of ours: all of it is there and, while some has not started, the
-    // worker is full and those wait.
-    double at_least(double load, double slots) const {
+    // Raises an estimated load to what this dispatcher's own attempts imply: all of them are at the worker
+    // and, if some should have started by now, the worker is full and those wait in its queue.
+    double with_own_load(double load, double slots) const {
         load = std::max(load, outstanding_slots / slots);
         return stuck_slots > 0 ? std::max(1.0, load) + stuck_slots / slots : load;
     }
@@ -110,12 +117,12 @@
         outstanding_slots += slots;
     }
     void record_end(double slots) { outstanding_slots = std::max(0.0, outstanding_slots - slots); }
-    // An end that no report came with: until the next one, what this dispatcher knows to be over counts no
-    // more, be it in X or, if the last report was made after the job was sent, in L. `share`: of all slots. A
-    // job goes out after the reports of its own moment have been taken in.
-    void record_end_without_report(const Attempt& attempt, double slots, double share) {
+    // An attempt has ended without a report. Until the next report, its load is subtracted from L if the last
+    // report was made after the attempt was sent, and from X otherwise. Jobs are sent after the reports of
+    // the same instant have been processed. `load_share`: share of the worker's slots that the attempt used.
+    void record_end_without_report(const Attempt& attempt, double slots, double load_share) {
         if (attempt.sent < reported_at) {
-            load = std::max(0.0, load - share);
+            load = std::max(0.0, load - load_share);
         } else {
             sent_slots = std::max(0.0, sent_slots - slots);
             degradation = std::max(0.0, degradation - attempt.load_increment);
@@ -123,108 +130,122 @@
     }
 };
 
-// Whether both drop each other's repeats.
-inline bool same_group(RepeatScope scope, const WorkerEntry& a, const WorkerEntry& b) {
+// Whether two workers deduplicate each other's repeats.
+inline bool same_repeat_group(RepeatScope scope, const WorkerEntry& a, const WorkerEntry& b) {
     return scope == RepeatScope::zone ? a.zone == b.zone : a.cell == b.cell;
 }
 
+// A job and its attempts. `live`: its final answer is still owed.
 struct Job {
-    std::uint64_t serial = 0; // tells this job from others that had the same id
+    std::uint64_t serial = 0; // distinguishes this job from earlier ones with the same id
     bool live = false, waiting = false, streaming = false;
-    JobArrived in;
-    Time asked_at{0}, arrived{0}, deadline{0}, look_at{0};
-    double value = 0; // worth for each slot-second
+    JobArrived arrival;
+    Time first_tried_at{0}, arrived_at{0}, deadline{0}, review_at{0};
+    double value = 0; // worth per slot-second
     std::vector<Attempt> attempts{};
     const Attempt* first_that_may_have_run() const {
         const auto found = std::ranges::find(attempts, true, &Attempt::may_have_run);
         return found == attempts.end() ? nullptr : &*found;
     }
-    bool is_out() const { return std::ranges::count(attempts, true, &Attempt::out) > 0; }
+    bool is_in_flight() const { return std::ranges::count(attempts, true, &Attempt::in_flight) > 0; }
 };
 
-// How long jobs take: by class and place, and by their hints.
-struct Times {
-    Runs runs;
-    HintedRuns hinted;
+// Estimates how long jobs take, by class and worker group and by their hints.
+struct JobTimes {
+    RunTimes by_class;
+    HintedRunTimes by_hint;
 
-    // What an attempt of a job with a hint is expected to run, in seconds.
-    double expected(const Job& job, bool away, const Worker& w) const {
-        return std::max(0.001, hinted.run(w.entry.kind, away, seconds(job.in.hint)));
+    // Expected run time, in seconds, of a job with a hint.
+    double expected_run_s(const Job& job, bool off_holder, const Worker& w) const {
+        return std::max(0.001, by_hint.expected_s(w.entry.kind, off_holder, seconds(job.arrival.hint)));
     }
-    double work(const Job& job) const { // in slot-seconds
-        return job.in.slots * std::max(runs.run(job.in.job_class), seconds(job.in.hint));
+    // Expected work of a job in slot-seconds.
+    double work(const Job& job) const {
+        return job.arrival.slots * std::max(by_class.run_s(job.arrival.job_class), seconds(job.arrival.hint));
     }
-    // The load of a worker at which a job has just started, by what it waited there: a wait of one run is a
-    // load beyond full. Less than `noise` is none.
+    // Load of a worker at which a job has just started, derived from the time that the job waited there: a
+    // wait of one run time is a load of 1 beyond full. A wait of up to `noise` counts as none.
     double load_at_start(const Job& job, const Attempt& attempt, const Worker& w, Time noise) const {
         const Time waited = attempt.started_at - attempt.sent;
-        if (waited <= noise) return usual_at_first;
-        return 1 + seconds(waited) / std::max(0.001, runs.run(job.in.job_class, w.entry.kind));
-    }
-    // It says that it is so far; at that pace, it takes so long. What cannot be says nothing.
-    void progressed(const Job& job, const Attempt& attempt, Worker& w, double done, Time now) const {
-        if (job.in.hint <= Time(0) || attempt.started_at < Time(0) || !(done > 0) || done > 1) return;
-        w.pace.outlasts(seconds(now - attempt.started_at) / (done * expected(job, attempt.away, w)), now);
-    }
-    // It was served. What it ran is known where starts are told or, elsewhere, where there was room.
-    void served(const Job& job, const Attempt& attempt, Worker& w, Time took, bool had_room, bool tells_start,
-                Time now) {
-        const double ran = attempt.started_at >= Time(0) ? seconds(now - attempt.started_at)
-                           : had_room && !tells_start    ? seconds(took)
-                                                         : -1;
-        if (job.in.hint > Time(0) && ran >= 0) w.pace.ran(ran / expected(job, attempt.away, w), now);
-        if (!w.pace.crawls(now)) hinted.ended(w.entry.kind, attempt.away, ran, seconds(job.in.hint));
-        runs.served(job.in.job_class, w.place(), seconds(took), had_room, now);
+        if (waited <= noise) return initial_load;
+        return 1 + seconds(waited) / std::max(0.001, by_class.run_s(job.arrival.job_class, w.entry.kind));
+    }
+    // Extrapolates the run time from the reported progress, `done` in (0, 1]. Values outside of that range
+    // are ignored.
+    void record_progress(const Job& job, const Attempt& attempt, Worker& w, double done, Time now) const {
+        if (job.arrival.hint <= Time(0) || attempt.started_at < Time(0) || !(done > 0) || done > 1) return;
+        w.slowdown.record_unfinished(
+            seconds(now - attempt.started_at) / (done * expected_run_s(job, attempt.off_holder, w)), now);
+    }
+    // The run time is known if starts are reported or, if not, if the job found a free slot at once.
+    void record_served(const Job& job, const Attempt& attempt, Worker& w, Time latency, bool had_free_slot,
+                       bool reports_start, Time now) {
+        const double run_s = attempt.started_at >= Time(0)     ? seconds(now - attempt.started_at)
+                             : had_free_slot && !reports_start ? seconds(latency)
+                                                               : -1;
+        if (job.arrival.hint > Time(0) && run_s >= 0)
+            w.slowdown.record_run(run_s / expected_run_s(job, attempt.off_holder, w), now);
+        if (!w.slowdown.is_slow(now))
+            by_hint.record_end(w.entry.kind, attempt.off_holder, run_s, seconds(job.arrival.hint));
+        by_class.record_served(job.arrival.job_class, w.group_key(), seconds(latency), had_free_slot, now);
     }
 };
 
-// The slots of a worker that tells how many are free.
-inline double slots_in(const Report& report) {
+// Number of slots of a worker whose report has the number of free slots.
+inline double slots_from_report(const Report& report) {
     return report.free_slots.value_or(0) +
            std::max(0.0, report.in_flight.value_or(0) - report.queued.value_or(0));
 }
 
-// The load in a report. Utilisation ends at 1 and may lag behind the slots: the fuller view counts, and what
-// waits is added. `fallback`: where it tells neither; `all`: the worker's slots, 0 while none are known.
-inline double load_in(const Report& report, double fallback, double all, double per_slot) {
+// Load from a report. Utilisation never exceeds 1 and may lag behind the slots in use, so the higher of the
+// two counts, and queued jobs are added. `fallback` is used for a report with neither; `total_slots` are the
+// slots of the worker, 0 if unknown.
+inline double load_from_report(const Report& report, double fallback, double total_slots,
+                               double load_per_slot) {
     double load = report.utilisation.value_or(fallback);
-    if (report.free_slots && all > 0) load = std::max(load, 1 - *report.free_slots / all);
-    return load + report.queued.value_or(0) * per_slot;
+    if (report.free_slots && total_slots > 0) load = std::max(load, 1 - *report.free_slots / total_slots);
+    return load + report.queued.value_or(0) * load_per_slot;
 }
 
-// A subscription to the list that must be asked for, and asked for again when it breaks. Calls are spread by
-// chance, as all dispatchers may start at once; they recur often enough for the list to stay valid.
+// Decides when to request the worker list, or a subscription to it, and when to do so again after a failure.
+// Requests are spread at random, because all dispatchers may start at once, and are frequent enough for the
+// list to stay valid.
 class Subscription {
   public:
+    // `remembered`: the update is the list saved before a restart, not an answer.
     void on_update(bool broken, bool remembered) {
         failed_ = failed_ || broken;
-        asked_ = asked_ && !broken; // what still comes of the one that broke is no sign of a new one
-        if (!broken && asked_) watching_ = watching_ || !remembered;
-    }
-    // Whether to ask now; `chance` gives a number from 0 to 1 when it is needed. A new life may remember a
-    // list so old that its changes count as told from the first moment: its first call leaves half of the
-    // grace for drains to its answer.
-    template <class Chance> bool should_request(Time now, Time valid, Time drain_grace, Chance chance) {
-        if (ask_at_ < Time(0)) ask_at_ = now + from_seconds(chance() * first_spread(valid, drain_grace));
-        if (watching_) failures_ = 0;
+        requested_ = requested_ && !broken; // late updates of a broken subscription do not confirm a new one
+        if (!broken && requested_) active_ = active_ || !remembered;
+    }
+    // Whether to send a request now. `uniform` returns a random number from 0 to 1. After a restart, changes
+    // made since the list was saved may count as announced from the first moment. The first request is
+    // therefore sent within half of the drain grace, which leaves the other half to the answer.
+    template <class Uniform>
+    bool should_request(Time now, Time list_valid, Time drain_grace, Uniform uniform) {
+        if (request_at_ < Time(0))
+            request_at_ = now + from_seconds(uniform() * initial_spread_s(list_valid, drain_grace));
+        if (active_) failures_ = 0;
         if (std::exchange(failed_, false)) {
-            watching_ = false;
-            ask_at_ = now + std::min(valid / 2, back_off_after(failures_++, chance()));
+            active_ = false;
+            request_at_ = now + std::min(list_valid / 2, back_off_after(failures_++, uniform()));
         }
-        if (watching_ || now < ask_at_) return false;
-        ask_at_ = now + valid / 2;
-        return asked_ = true;
+        if (active_ || now < request_at_) return false;
+        request_at_ = now + list_valid / 2;
+        return requested_ = true;
+    }
+    std::optional<Time> next_request_at() const {
+        return active_ ? std::nullopt : std::optional(request_at_);
     }
-    std::optional<Time> next_request_at() const { return watching_ ? std::nullopt : std::optional(ask_at_); }
 
   private:
-    static double first_spread(Time valid, Time drain_grace) {
-        return drain_grace > Time(0) ? std::min(seconds(valid) / 8, seconds(drain_grace) / 2)
-                                     : seconds(valid) / 8;
+    static double initial_spread_s(Time list_valid, Time drain_grace) {
+        return drain_grace > Time(0) ? std::min(seconds(list_valid) / 8, seconds(drain_grace) / 2)
+                                     : seconds(list_valid) / 8;
     }
-    bool watching_ = false, failed_ = false, asked_ = true;
+    bool active_ = false, failed_ = false, requested_ = true;
     int failures_ = 0;
-    Time ask_at_{-1};
+    Time request_at_{-1};
 };
 
 } // namespace willowrill::load_estimates
--- a/src/scheduler/load_estimates/learn.h
+++ b/src/scheduler/load_estimates/learn.h
@@ -1,6 +1,6 @@
-// What a dispatcher learns from the little it sees: running means that start fast, the rate at which work
-// comes, how long jobs run and wait, and zones that have gone silent. Pure bookkeeping, without clock and
-// without decisions: what follows from a figure is the module's business.
+// Estimators and small data structures of the dispatcher: running means, arrival rates, run and wait times of
+// jobs, slots of workers, key affinity, sampling, timers and budgets. They read no clock and make no dispatch
+// decisions; src/scheduler/dispatcher/rules.cpp does.
 #pragma once
 
 #include <algorithm>
@@ -22,71 +22,73 @@
 using Time = std::chrono::nanoseconds;
 
 inline double seconds(Time d) { return std::chrono::duration<double>(d).count(); }
-// To 30 years at the most: what is longer never comes, and must not overflow.
+// Clamps to about 30 years, which never pass, to avoid overflow.
 inline Time from_seconds(double s) { return Time(static_cast<Time::rep>(std::clamp(s, -1e9, 1e9) * 1e9)); }
 
-// SplitMix64's last step: a hash that is the same everywhere.
+// Finalizer of SplitMix64: a hash that is the same for all processes.
 inline std::uint64_t mix64(std::uint64_t x) {
     x = (x ^ (x >> 30U)) * 0xbf58476d1ce4e5b9ULL;
     x = (x ^ (x >> 27U)) * 0x94d049bb133111ebULL;
     return x ^ (x >> 31U);
 }
 
+// Maps 64 random bits to a uniformly distributed number in [0, 1).
 inline double to_unit_interval(std::uint64_t random) {
     return static_cast<double>(random >> 11U) * 0x1.0p-53;
 }
 
-// The place of a pair in tables by kind and zone: no two pairs share one, whatever kinds and zones come.
+// Index of a (kind, zone) pair in tables. The Cantor pairing function gives each pair its own index, also for
+// kinds and zones that are not in the settings.
 inline std::size_t group_index(std::size_t kind, std::size_t zone) {
     return (kind + zone) * (kind + zone + 1) / 2 + zone;
 }
 
-// A running mean whose first samples weigh more, as few come.
+// Running mean: the plain mean of the first samples, then exponentially weighted with `min_weight`.
 struct Mean {
     double value = 0, samples = 0;
-    void add(double x, double least_weight) {
-        value += std::max(least_weight, 1 / (samples + 1)) * (x - value);
+    void add(double x, double min_weight) {
+        value += std::max(min_weight, 1 / (samples + 1)) * (x - value);
         ++samples;
     }
 };
 
-// Means by group, each drawn to the mean of all while few samples of its own are there.
+// Means by group. The estimate of a group with few samples is drawn towards the mean over all groups.
 class GroupMeans {
   public:
-    GroupMeans(double prior, double least_weight, double prior_samples = 4)
-        : all_{prior, 1}, prior_samples_(prior_samples), least_weight_(least_weight) {}
+    GroupMeans(double prior, double min_weight, double prior_samples = 4)
+        : overall_{prior, 1}, prior_samples_(prior_samples), min_weight_(min_weight) {}
 
     void add(std::size_t group, double x) {
         if (groups_.size() <= group) groups_.resize(group + 1);
-        groups_[group].add(x, least_weight_);
-        all_.add(x, least_weight_);
+        groups_[group].add(x, min_weight_);
+        overall_.add(x, min_weight_);
     }
-    double of(std::size_t group) const {
+    double estimate(std::size_t group) const {
         const Mean own = group < groups_.size() ? groups_[group] : Mean{};
-        return (all_.value * prior_samples_ + own.value * own.samples) / (prior_samples_ + own.samples);
+        return (overall_.value * prior_samples_ + own.value * own.samples) / (prior_samples_ + own.samples);
     }
-    double all() const { return all_.value; }
-    double least(std::size_t groups) const { // of the first so many
-        double out = all_.value;
+    double overall() const { return overall_.value; }
+    double min_estimate(std::size_t groups) const { // over the first `groups` groups
+        double lowest = overall_.value;
         for (std::size_t group = 0; group < groups; ++group)
-            out = group == 0 ? of(group) : std::min(out, of(group));
-        return out;
+            lowest = group == 0 ? estimate(group) : std::min(lowest, estimate(group));
+        return lowest;
     }
 
   private:
-    Mean all_;
-    std::vector<Mean> groups_; // as many as kinds and zones are listed
-    double prior_samples_, least_weight_;
+    Mean overall_;
+    std::vector<Mean> groups_; // bounded by the kinds and zones of the worker list
+    double prior_samples_, min_weight_;
 };
 
-// An amount a second, averaged over about `window_s`, from the first amount on.
+// Amount per second, exponentially averaged over about `window_s`, starting with the first amount.
 class Rate {
   public:
     explicit Rate(double window_s = 10) : window_s_(window_s) {}
     void add(double amount, Time now) {
-        const double kept = std::exp(-std::max(0.0, seconds(now - std::exchange(at_, now))) / window_s_);
-        amount_ = amount_ * kept + amount;
-        seconds_ = seconds_ * kept + window_s_ * (1 - kept);
+        const double decay = std::exp(-std::max(0.0, seconds(now - std::exchange(at_, now))) / window_s_);
+        amount_ = amount_ * decay + amount;
+        seconds_ = seconds_ * decay + window_s_ * (1 - decay);
     }
     double per_s() const { return amount_ / std::max(1.0, seconds_); }
 
@@ -95,140 +97,146 @@
     Time at_{0};
 };
 
-// Of the work that comes, by class, what a kind of worker is the first choice for: that of the classes which
-// need it or, where none does, of those that run anywhere.
-class Offered {
+// Rate of arriving work that a kind of worker is the first choice for: the work of the classes that require
+// this kind or, if no such work arrives, of the classes that run on any kind.
+class OfferedLoad {
   public:
-    static constexpr std::size_t anywhere = static_cast<std::size_t>(-1);
+    static constexpr std::size_t any_kind = static_cast<std::size_t>(-1);
     void add_class(std::size_t kind) { classes_.emplace_back(kind, Rate()); }
     void add(std::size_t job_class, double amount, Time now) { classes_[job_class].second.add(amount, now); }
-    double to(std::size_t kind) const {
-        const double needing = sum(kind);
-        return needing > 0 ? needing : sum(anywhere);
+    double rate_for(std::size_t kind) const {
+        const double requiring = sum(kind);
+        return requiring > 0 ? requiring : sum(any_kind);
     }
 
   private:
     double sum(std::size_t kind) const {
-        double out = 0;
-        for (const auto& [needed, rate] : classes_)
-            out += needed == kind ? rate.per_s() : 0;
-        return out;
+        double total = 0;
+        for (const auto& [required_kind, rate] : classes_)
+            total += required_kind == kind ? rate.per_s() : 0;
+        return total;
     }
     std::vector<std::pair<std::size_t, Rate>> classes_;
 };
 
-// A client's later try has less time left than its first: the difference has been running since that one. No
-// one client's odd time, longer than its class's, may make all others look late.
-class FirstTries {
+// Estimates when a client first tried a job. A retry arrives with less time left than the first try; the
+// difference is the time that has passed since. Times left are capped by the limit of the class, so that a
+// single client with an unusually long limit does not make all other jobs look like retries.
+class FirstTryEstimator {
   public:
-    void add_class(Time give_up) { classes_.emplace_back(give_up, Time(0)); }
-    // When the first was, before now. Where later ones are marked, one without a mark is of a client in
-    // haste.
-    Time ago(std::size_t job_class, Time left, bool surely_first) {
-        auto& [give_up, longest] = classes_[job_class];
-        longest = std::max(longest, std::min(left, give_up));
-        return surely_first ? Time(0) : std::max(Time(0), longest - left);
+    void add_class(Time limit) { classes_.emplace_back(limit, Time(0)); }
+    // Time since the first try. `is_first`: known to be the first try, as retries are marked and this one is
+    // not; little time left then means a client with a short limit.
+    Time since_first_try(std::size_t job_class, Time time_left, bool is_first) {
+        auto& [limit, max_seen] = classes_[job_class];
+        max_seen = std::max(max_seen, std::min(time_left, limit));
+        return is_first ? Time(0) : std::max(Time(0), max_seen - time_left);
     }
 
   private:
-    std::vector<std::pair<Time, Time>> classes_; // by class: the most, and the most seen
+    std::vector<std::pair<Time, Time>> classes_; // by class: limit, and longest time left seen
 };
 
-// How long the jobs of a class run on a kind of worker, and how long they wait before at a group of workers:
-// the run is learnt where there was room, and what an answer took beyond it is the wait.
-class Runs {
+// Run times of the jobs of a class by kind of worker, and wait times before the run by group of workers. Run
+// times are learned from jobs that found a free slot; the rest of a latency counts as wait time.
+class RunTimes {
   public:
-    void add_class(double prior_s, double least_weight) {
-        runs_.emplace_back(prior_s, least_weight, 2);
+    void add_class(double prior_s, double min_weight) {
+        runs_.emplace_back(prior_s, min_weight, 2);
         waits_.emplace_back();
     }
-    double run(std::size_t job_class) const { return runs_[job_class].all(); }
-    double run(std::size_t job_class, std::size_t kind) const { return runs_[job_class].of(kind); }
+    double run_s(std::size_t job_class) const { return runs_[job_class].overall(); }
+    double run_s(std::size_t job_class, std::size_t kind) const { return runs_[job_class].estimate(kind); }
 
-    struct Place {
+    struct GroupKey {
         std::size_t kind = 0, group = 0;
     };
-    void served(std::size_t job_class, Place at, double took_s, bool had_room, Time now) {
-        if (had_room) runs_[job_class].add(at.kind, took_s);
-        const double usual = run(job_class, at.kind), known = wait(job_class, at.group, now);
-        // One odd worker is not all of its group.
-        const double more = std::clamp(took_s - usual - known, -odd * usual, odd * usual);
-        set(job_class, at.group, known + wait_weight * more, now);
-    }
-    // It is out for so long, and not back.
-    void outlasts(std::size_t job_class, Place at, double out_s, Time now) {
-        const double usual = run(job_class, at.kind), known = wait(job_class, at.group, now);
-        const double more = std::clamp(out_s - usual - known, 0.0, odd * usual);
-        if (more > 0) set(job_class, at.group, known + wait_weight * more, now);
-    }
-    double wait(std::size_t job_class, std::size_t group, Time now) const {
+    void record_served(std::size_t job_class, GroupKey key, double latency_s, bool had_free_slot, Time now) {
+        if (had_free_slot) runs_[job_class].add(key.kind, latency_s);
+        const double expected_s = run_s(job_class, key.kind), known_s = wait_s(job_class, key.group, now);
+        // Bounded, so that a single outlier does not determine the estimate of its whole group.
+        const double error_s = std::clamp(latency_s - expected_s - known_s, -max_error_runs * expected_s,
+                                          max_error_runs * expected_s);
+        set_wait(job_class, key.group, known_s + wait_weight * error_s, now);
+    }
+    // The attempt has been in flight for `elapsed_s` without a result.
+    void record_unfinished(std::size_t job_class, GroupKey key, double elapsed_s, Time now) {
+        const double expected_s = run_s(job_class, key.kind), known_s = wait_s(job_class, key.group, now);
+        const double error_s = std::clamp(elapsed_s - expected_s - known_s, 0.0, max_error_runs * expected_s);
+        if (error_s > 0) set_wait(job_class, key.group, known_s + wait_weight * error_s, now);
+    }
+    // The estimate decays, with a half-life of `wait_half_life_s`, when there are no new samples.
+    double wait_s(std::size_t job_class, std::size_t group, Time now) const {
         if (group >= waits_[job_class].size()) return 0;
-        const Wait& known = waits_[job_class][group];
-        return std::max(0.0, known.value) * std::exp2(-seconds(now - known.at) / wait_half_s);
+        const Wait& wait = waits_[job_class][group];
+        return std::max(0.0, wait.value_s) * std::exp2(-seconds(now - wait.at) / wait_half_life_s);
     }
 
   private:
-    static constexpr double odd = 3, wait_weight = 0.25, wait_half_s = 4;
+    // `max_error_runs` is in multiples of the expected run time.
+    static constexpr double max_error_runs = 3, wait_weight = 0.25, wait_half_life_s = 4;
     struct Wait {
-        double value = 0;
+        double value_s = 0;
         Time at{0};
     };
-    void set(std::size_t job_class, std::size_t group, double value, Time now) {
+    void set_wait(std::size_t job_class, std::size_t group, double value_s, Time now) {
         if (waits_[job_class].size() <= group) waits_[job_class].resize(group + 1);
-        waits_[job_class][group] = {value, now};
+        waits_[job_class][group] = {value_s, now};
     }
-    std::vector<GroupMeans> runs_;         // by class, in them by kind
+    std::vector<GroupMeans> runs_;         // by class, then by kind
     std::vector<std::vector<Wait>> waits_; // by class and group
 };
 
-// How many slots workers of a kind have: the most seen. Their first reports may all come from busy workers
-// and show few, so until there are enough, a kind is taken to have as many as any other, and as the widest
-// job needs.
+// Number of slots of the workers of a kind: the maximum seen. First reports may all come from busy workers
+// and show too few slots. Until there are `min_reports`, a kind is therefore assumed to have as many slots as
+// any other kind, and as many as the widest job needs.
 class KindSlots {
   public:
-    explicit KindSlots(int enough_reports = 20) : enough_(enough_reports) {}
-    // What a client claims for its job, as far as it can be true: more than any worker has shown makes no job
-    // wider, and one absurd claim must not decide what all workers are taken for.
-    double believed(double claimed) const {
-        double most = believable;
+    explicit KindSlots(int min_reports = 20) : min_reports_(min_reports) {}
+    // Caps the slots that a client claims for its job at the most that any worker has shown, so that an
+    // absurd claim does not determine the assumed size of all workers.
+    double plausible(double claimed) const {
+        double limit = min_claim_limit;
         for (const Kind& kind : kinds_)
-            most = std::max(most, kind.most);
-        return std::min(claimed, most);
+            limit = std::max(limit, kind.max_slots);
+        return std::min(claimed, limit);
     }
-    void know(std::size_t kind) {
+    void add_kind(std::size_t kind) {
         if (kinds_.size() <= kind) kinds_.resize(kind + 1);
     }
-    void wide_job(double slots) { widest_ = std::max(widest_, slots); }
-    void reported(std::size_t kind, double slots) {
-        kinds_[kind].most = std::max(kinds_[kind].most, slots);
+    void record_job(double slots) { max_job_slots_ = std::max(max_job_slots_, slots); }
+    void record_report(std::size_t kind, double slots) {
+        kinds_[kind].max_slots = std::max(kinds_[kind].max_slots, slots);
         ++kinds_[kind].reports;
     }
-    void finished(std::size_t kind, double slots) { kinds_[kind].most = std::max(kinds_[kind].most, slots); }
-    double of(std::size_t kind) const { // 0: none seen yet
+    void record_finished(std::size_t kind, double slots) {
+        kinds_[kind].max_slots = std::max(kinds_[kind].max_slots, slots);
+    }
+    double slots(std::size_t kind) const { // 0: none seen yet
         const Kind& known = kinds_[kind];
-        if (known.most <= 0 || known.reports >= enough_) return known.most;
-        return std::max(widest_, std::ranges::max(kinds_, {}, &Kind::most).most);
+        if (known.max_slots <= 0 || known.reports >= min_reports_) return known.max_slots;
+        return std::max(max_job_slots_, std::ranges::max(kinds_, {}, &Kind::max_slots).max_slots);
     }
     std::size_t kinds() const { return kinds_.size(); }
 
   private:
-    static constexpr double believable = 64; // until a worker has shown more
+    static constexpr double min_claim_limit = 64; // accepted until a worker has shown more slots
     struct Kind {
-        double most = 0;
+        double max_slots = 0;
         int reports = 0;
     };
-    std::vector<Kind> kinds_; // as many as listed
-    double widest_ = 0;       // the most slots that a job has needed
-    int enough_;
+    std::vector<Kind> kinds_;  // as many as in the worker list
+    double max_job_slots_ = 0; // the most slots that a job has needed
+    int min_reports_;
 };
 
-// What is to be looked at, and when. What has become void is dropped when it comes up, and all of it once it
-// may be the most: a time that lies a day ahead must not hold its entry for a day.
+// Priority queue of timers. Entries that have become void are dropped when they reach the front, and all of
+// them together once they may be the majority: an entry that is due in a day must not stay for a day.
 class TimerQueue {
   public:
     struct Entry {
         Time at{0};
-        std::uint64_t serial = 0; // tells whom it was for from those that had the same id
+        std::uint64_t serial = 0; // distinguishes the owner from earlier owners of the same id
         std::uint32_t id = 0;
         auto operator<=>(const Entry&) const = default;
     };
@@ -237,17 +245,18 @@
         entries_.push_back(entry);
         std::ranges::push_heap(entries_, std::greater<>());
     }
+    // Removes and returns the earliest entry that is due and not void.
     template <class IsVoid> std::optional<Entry> pop_due(Time now, IsVoid is_void) {
-        if (entries_.size() > tidy_at_) {
+        if (entries_.size() > compact_at_) {
             std::erase_if(entries_, is_void);
             std::ranges::make_heap(entries_, std::greater<>());
-            tidy_at_ = 2 * entries_.size() + enough_to_tidy;
+            compact_at_ = 2 * entries_.size() + min_compact_size;
         }
         while (!entries_.empty() && (entries_.front().at <= now || is_void(entries_.front()))) {
             std::ranges::pop_heap(entries_, std::greater<>());
-            const Entry first = entries_.back();
+            const Entry earliest = entries_.back();
             entries_.pop_back();
-            if (!is_void(first)) return first;
+            if (!is_void(earliest)) return earliest;
         }
         return std::nullopt;
     }
@@ -257,236 +266,257 @@
     std::size_t size() const { return entries_.size(); }
 
   private:
-    static constexpr std::size_t enough_to_tidy = 256;
-    std::vector<Entry> entries_; // a heap; at most twice what is not void, and `enough_to_tidy`
-    std::size_t tidy_at_ = enough_to_tidy;
+    static constexpr std::size_t min_compact_size = 256;
+    std::vector<Entry> entries_; // min-heap; at most twice the live entries plus `min_compact_size`
+    std::size_t compact_at_ = min_compact_size;
 };
 
-// How long jobs run for each second of their hint, by kind of worker, at those that hold their key and
-// elsewhere.
-class HintedRuns {
+// Ratio of a job's run time to its hint by kind of worker, separately for workers that hold the job's key and
+// for those that do not (`off_holder`).
+class HintedRunTimes {
   public:
-    void ended(std::size_t kind, bool away, double ran_s, double hint_s) { // negative: not known
-        if (ran_s >= 0 && hint_s > 0) ratios_.add(place(kind, away), std::min(ran_s / hint_s, most));
+    // `run_s` is negative if unknown.
+    void record_end(std::size_t kind, bool off_holder, double run_s, double hint_s) {
+        if (run_s >= 0 && hint_s > 0)
+            ratios_.add(index(kind, off_holder), std::min(run_s / hint_s, max_ratio));
+    }
+    double expected_s(std::size_t kind, bool off_holder, double hint_s) const {
+        return hint_s * ratios_.estimate(index(kind, off_holder));
     }
-    double run(std::size_t kind, bool away, double hint_s) const {
-        return hint_s * ratios_.of(place(kind, away));
+    double min_expected_s(std::size_t kinds, double hint_s) const {
+        return hint_s * ratios_.min_estimate(2 * kinds);
     }
-    double fastest(std::size_t kinds, double hint_s) const { return hint_s * ratios_.least(2 * kinds); }
 
   private:
-    static constexpr double least_weight = 0.05, most = 10; // times its hint that one run may count for
-    static std::size_t place(std::size_t kind, bool away) { return 2 * kind + (away ? 1 : 0); }
-    GroupMeans ratios_{1, least_weight};
+    static constexpr double min_weight = 0.05, max_ratio = 10; // cap on the ratio of a single run
+    static std::size_t index(std::size_t kind, bool off_holder) { return 2 * kind + (off_holder ? 1 : 0); }
+    GroupMeans ratios_{1, min_weight};
 };
 
-// How many times as long as expected a worker's jobs run. One that crawls is known by several, or by those
-// that are out for very long. Word of it fades, as only a job sent there can tell that it has recovered.
-class Pace {
+// Ratio of the run times of a worker's jobs to the expected ones. It takes several slow runs, or one that is
+// very long overdue, to mark a worker as slow. The ratio decays to 1, because only a new job can show that
+// the worker has recovered.
+class Slowdown {
   public:
-    void ran(double times, Time now) {
-        const double known = of(now);
-        value_ = known + weight * (std::min(times, most) - known);
+    void record_run(double run_ratio, Time now) {
+        const double known = ratio(now);
+        value_ = known + weight * (std::min(run_ratio, max_ratio) - known);
         at_ = now;
     }
-    void outlasts(double times, Time now) { // a job has run so long, and still does
-        if (times > of(now)) ran(times, now);
+    // A job has run for `run_ratio` times the expected time and has not finished.
+    void record_unfinished(double run_ratio, Time now) {
+        if (run_ratio > ratio(now)) record_run(run_ratio, now);
     }
-    double of(Time now) const { return 1 + (value_ - 1) * std::exp2(-seconds(now - at_) / half_s); }
-    bool crawls(Time now) const { return of(now) > crawling; }
-    // What a run is expected to take here: the usual, unless it crawls.
-    double stretch(Time now) const { return crawls(now) ? of(now) : 1; }
+    double ratio(Time now) const { return 1 + (value_ - 1) * std::exp2(-seconds(now - at_) / half_life_s); }
+    bool is_slow(Time now) const { return ratio(now) > slow_ratio; }
+    // Factor on the expected run time on this worker: 1 unless it is slow.
+    double run_factor(Time now) const { return is_slow(now) ? ratio(now) : 1; }
 
   private:
-    static constexpr double weight = 0.3, most = 6, half_s = 10, crawling = 2;
+    static constexpr double weight = 0.3, max_ratio = 6, half_life_s = 10, slow_ratio = 2;
     double value_ = 1;
     Time at_{0};
 };
 
-// Which part of the jobs are about a key, by the last thousand or so.
+// Fraction of the jobs that have a given key, over about the last thousand jobs with keys.
 class KeyShares {
   public:
     void add(std::uint64_t key) {
-        all_ += 1;
+        total_ += 1;
         counts_[key] += 1;
-        if (all_ < most) return;
-        all_ /= 2;
-        for (auto& [held, count] : counts_)
+        if (total_ < max_total) return;
+        total_ /= 2;
+        for (auto& [counted_key, count] : counts_)
             count /= 2;
         std::erase_if(counts_, [](const auto& entry) { return entry.second < 0.5; });
     }
     double share(std::uint64_t key) const {
         const auto found = counts_.find(key);
-        return found == counts_.end() || all_ <= 0 ? 0 : found->second / std::max(all_, some);
+        return found == counts_.end() || total_ <= 0 ? 0 : found->second / std::max(total_, min_total);
     }
 
   private:
-    static constexpr double most = 1024, some = 32;
-    double all_ = 0;
-    std::unordered_map<std::uint64_t, double> counts_; // 2 * `most` at the most, as none counts under a half
+    static constexpr double max_total = 1024, min_total = 32;
+    double total_ = 0;
+    std::unordered_map<std::uint64_t, double> counts_; // at most 2 * `max_total`: each count is 0.5 or more
 };
 
-// Who holds a key: an order of workers by a hash of both, in which each key has its own, the same to whoever
-// makes it, and workers that come and go leave the others in theirs (rendezvous hashing).
-class Holders {
+// Ranks the workers for a key by rendezvous hashing: every dispatcher computes the same order, each key has
+// its own order, and workers that come and go do not change the order of the others. The first workers of the
+// order are the holders of the key.
+class KeyHolders {
   public:
-    void asked_for(std::uint64_t key) { shares_.add(key); } // by a job that came
-    // As many of the first hold it as its share of the jobs fills, times `spare`; one at the least.
+    void record_job(std::uint64_t key) { shares_.add(key); }
+    // Prepares `ranks_behind_holders` for a key. The number of holders is the key's share of the jobs times
+    // the number of workers times `overprovision`, at least 1.
     template <class Ids, class KeyOf>
-    void order(std::uint64_t key, double spare, const Ids& ids, KeyOf key_of) {
-        key_ = mix64(key + 1);
-        holders_ = std::max(1.0, std::ceil(shares_.share(key) * spare * static_cast<double>(ids.size())));
-        first_ = {};
+    void rank(std::uint64_t key, double overprovision, const Ids& ids, KeyOf key_of) {
+        key_hash_ = mix64(key + 1);
+        holder_count_ =
+            std::max(1.0, std::ceil(shares_.share(key) * overprovision * static_cast<double>(ids.size())));
+        top_weights_ = {};
         for (const auto id : ids) {
-            double height = height_of(key_of(id));
-            for (double& held : first_)
-                if (height > held) std::swap(height, held);
+            double weight = weight_of(key_of(id));
+            for (double& top : top_weights_)
+                if (weight > top) std::swap(weight, top);
         }
     }
-    // How far behind the last holder a worker comes, 0 or less for a holder. Beyond those that are kept all
-    // come alike.
-    double beyond(std::uint64_t worker) const {
-        const double own = height_of(worker);
-        const auto before = std::ranges::count_if(first_, [&](double held) { return held > own; });
-        return static_cast<double>(before) + 1 - holders_;
+    // Number of ranks by which a worker comes after the last holder; 0 or less for a holder. All workers
+    // after the ranks that are kept in `top_weights_` get the same number.
+    double ranks_behind_holders(std::uint64_t worker_key) const {
+        const double own = weight_of(worker_key);
+        const auto before = std::ranges::count_if(top_weights_, [&](double top) { return top > own; });
+        return static_cast<double>(before) + 1 - holder_count_;
     }
 
   private:
-    double height_of(std::uint64_t worker) const { return to_unit_interval(mix64(key_ ^ worker)); }
+    double weight_of(std::uint64_t worker_key) const {
+        return to_unit_interval(mix64(key_hash_ ^ worker_key));
+    }
     KeyShares shares_;
-    std::uint64_t key_ = 0;
-    double holders_ = 1;
-    std::array<double, 16> first_{};
+    std::uint64_t key_hash_ = 0;
+    double holder_count_ = 1;
+    std::array<double, 16> top_weights_{}; // descending
 };
 
-// The one with the lowest score, ties broken by chance.
-struct Lowest {
-    static constexpr double tie = 1e-9;
+// The candidate with the lowest score. Ties are broken uniformly at random.
+struct LowestScore {
+    static constexpr double tie_tolerance = 1e-9;
     std::uint32_t id = static_cast<std::uint32_t>(-1); // none yet
     double score = std::numeric_limits<double>::infinity();
     int ties = 0;
-    template <class Chance> void offer(std::uint32_t other, double its_score, Chance chance) {
-        if (its_score < score - tie) {
-            *this = {other, its_score, 1};
-        } else if (its_score <= score + tie && chance() * ++ties < 1) {
-            id = other;
+    template <class Uniform> void offer(std::uint32_t candidate, double candidate_score, Uniform uniform) {
+        if (candidate_score < score - tie_tolerance) {
+            *this = {candidate, candidate_score, 1};
+        } else if (candidate_score <= score + tie_tolerance && uniform() * ++ties < 1) {
+            id = candidate;
         }
     }
 };
 
-// Shares of one thing after the other, laid end to end. A point of chance from 0 to 1 falls to a share by its
-// length, and to one alone as long as all of them are no more than 1 (systematic sampling).
+// Systematic sampling: the shares of all takers are laid end to end, and a random point in [0, 1) selects a
+// taker with a probability equal to its share. It selects at most one taker as long as the shares add up to
+// at most 1.
 class SystematicSampler {
   public:
-    // Whether a job of this work, of so much work that comes in all, falls to the next taker. That is due
-    // `fair` of it, and closed for as long as it takes until one job more is due; while it is open, it takes
-    // more.
-    bool select_next(double fair, double work, double all, double point) {
-        const double open = 1 - std::min(most_closed, fair / std::max(work, tiny));
-        const double share = fair / open / std::max(all, tiny);
-        const double from = std::exchange(end_, end_ + share) - point;
-        return std::ceil(from + share) > std::ceil(from);
+    // Whether a job of `job_work` is assigned to the next taker, which is due `fair_work` of the `total_work`
+    // that arrives. After a job, a taker is closed until the next job is due to it; its share while it is
+    // open is raised to make up for that.
+    bool select_next(double fair_work, double job_work, double total_work, double point) {
+        const double open_fraction =
+            1 - std::min(max_closed_fraction, fair_work / std::max(job_work, epsilon));
+        const double share = fair_work / open_fraction / std::max(total_work, epsilon);
+        const double begin = std::exchange(end_, end_ + share) - point;
+        return std::ceil(begin + share) > std::ceil(begin);
     }
 
   private:
-    static constexpr double most_closed = 0.75, tiny = 1e-9;
+    static constexpr double max_closed_fraction = 0.75, epsilon = 1e-9;
     double end_ = 0;
 };
 
-// Beats, so many a second, that begin at a time of chance and never come in bursts.
-class Pulse {
+// Paces an activity at a given rate, without bursts. The first time is random within one interval.
+class Pacer {
   public:
-    template <class Chance> bool due(Time now, double per_s, Chance chance) {
-        if (next_ < Time(0)) next_ = now + from_seconds(chance() / per_s);
+    template <class Uniform> bool is_due(Time now, double per_s, Uniform uniform) {
+        if (next_ < Time(0)) next_ = now + from_seconds(uniform() / per_s);
         if (now < next_) return false;
         next_ = now + from_seconds(1 / per_s);
         return true;
     }
-    Time next() const { return next_; }
+    Time next_time() const { return next_; }
 
   private:
     Time next_{-1};
 };
 
-// Which workers of one kind are a dispatcher's homes, by their rank among `count` of them: its slice or,
-// where there are more dispatchers than workers, the first `few` of an order of its own.
-struct Homes {
-    std::size_t self = 0, dispatchers = 1, count = 0, few = 4;
-    bool own_order() const { return dispatchers > count; }
-    std::uint64_t place(std::uint64_t worker) const { return mix64(worker ^ mix64(self + 1)); }
-    bool has(std::size_t rank) const { return own_order() ? rank < few : rank * dispatchers / count == self; }
+// Selects the home workers of a dispatcher among the `count` workers of one kind, by their rank: a contiguous
+// slice or, if there are more dispatchers than workers, the first `max_homes` of an order private to the
+// dispatcher.
+struct HomeSelector {
+    std::size_t self = 0, dispatchers = 1, count = 0, max_homes = 4;
+    bool uses_own_order() const { return dispatchers > count; }
+    std::uint64_t sort_key(std::uint64_t worker_key) const { return mix64(worker_key ^ mix64(self + 1)); }
+    bool is_home(std::size_t rank) const {
+        return uses_own_order() ? rank < max_homes : rank * dispatchers / count == self;
+    }
 };
 
-// Tells of each of these, which are alike, whether it is a home.
-template <class Id, class KeyOf, class Tell>
-void each_home(const Homes& homes, std::span<const Id> alike, KeyOf key_of, Tell tell) {
-    std::vector<Id> order(alike.begin(), alike.end());
-    if (homes.own_order()) std::ranges::sort(order, {}, [&](Id id) { return homes.place(key_of(id)); });
+// Calls `assign` with each of the workers, which are of one kind, and whether it is a home.
+template <class Id, class KeyOf, class Assign>
+void assign_homes(const HomeSelector& selector, std::span<const Id> workers, KeyOf key_of, Assign assign) {
+    std::vector<Id> order(workers.begin(), workers.end());
+    if (selector.uses_own_order())
+        std::ranges::sort(order, {}, [&](Id id) { return selector.sort_key(key_of(id)); });
     for (std::size_t rank = 0; rank < order.size(); ++rank)
-        tell(order[rank], homes.has(rank));
+        assign(order[rank], selector.is_home(rank));
 }
 
-// What is due to a cold worker of one dispatcher's work within a window, in slot-seconds.
-struct ColdShare {
-    double warmth, usual_load, more; // load beyond the usual that it is given
-    double most = 0;                 // that the rule allows
-    double fair = 0;                 // at which it bears as much for what it can do as the others
-    // Of those that warm slots bear in the window, divided by the dispatchers; the rule allows a multiple.
-    void of_slots(double bears, double multiple) {
-        most = multiple * warmth * bears;
-        fair = std::min(multiple, usual_load + more) * warmth * bears;
-    }
-    // Where nobody tells how many slots a worker has, but others are warm and bear their part: an equal part
-    // of this dispatcher's own work, beside so many workers. What the rule allows is not known, so that is
-    // all.
-    void of_work(double work, std::size_t workers) {
-        const double equal = work / static_cast<double>(std::max<std::size_t>(1, workers));
-        most = fair = equal * warmth * (1 + more / std::max(more, usual_load));
+// Budget of one dispatcher for the work that it sends to a cold worker within a window, in slot-seconds.
+struct ColdBudget {
+    double warmth, usual_load, extra_load; // `extra_load`: load that it is given beyond the usual one
+    double max_work = 0;                   // limit of the overload rule
+    double fair_work = 0; // loads it, relative to its present capacity, as much as the others
+    // For a known number of slots. `warm_work`: what its slots can do in the window when warm, divided by the
+    // number of dispatchers. `max_multiple`: the multiple of the present capacity that may be sent.
+    void from_slots(double warm_work, double max_multiple) {
+        max_work = max_multiple * warmth * warm_work;
+        fair_work = std::min(max_multiple, usual_load + extra_load) * warmth * warm_work;
+    }
+    // For an unknown number of slots, if there are warm workers that take their part: an equal part of the
+    // work of this dispatcher over `workers`. The limit of the overload rule is not known then, so the fair
+    // part is also the maximum.
+    void from_work(double work, std::size_t workers) {
+        const double equal_part = work / static_cast<double>(std::max<std::size_t>(1, workers));
+        max_work = fair_work = equal_part * warmth * (1 + extra_load / std::max(extra_load, usual_load));
     }
 };
 
-// Calls `then` with each run of neighbours for which `what` gives the same.
-template <class Id, class What, class Then> void each_run(std::span<Id> ids, What what, Then then) {
+// Calls `visit` with each maximal range of adjacent ids for which `attribute` returns the same value.
+template <class Id, class Attribute, class Visit>
+void for_each_equal_range(std::span<Id> ids, Attribute attribute, Visit visit) {
     for (std::size_t first = 0, end = 0; first < ids.size(); first = end) {
-        while (end < ids.size() && what(ids[end]) == what(ids[first]))
+        while (end < ids.size() && attribute(ids[end]) == attribute(ids[first]))
             ++end;
-        then(ids.subspan(first, end - first));
+        visit(ids.subspan(first, end - first));
     }
 }
 
-// What was added within the last window.
-class Window {
+// Sum of the amounts added within a sliding window.
+class SlidingWindowSum {
   public:
     void add(double amount, Time now) { items_.emplace_back(now, amount); }
     double sum(Time window, Time now) {
         std::erase_if(items_, [&](const auto& item) { return item.first + window < now; });
-        double out = 0;
+        double total = 0;
         for (const auto& [at, amount] : items_)
-            out += amount;
-        return out;
+            total += amount;
+        return total;
     }
 
   private:
-    std::vector<std::pair<Time, double>> items_; // bounded by what its user lets in
+    std::vector<std::pair<Time, double>> items_; // bounded by the budget of the caller
 };
 
-// Workers of a zone may all be lost at once.
-struct Zone {
-    int silent = 0; // workers that could not be reached, one after the other, since one answered
-    std::uint32_t last = static_cast<std::uint32_t>(-1);
-    Time out_until{0};
-    bool another_silent(std::uint32_t worker) { // not the same once more
-        const bool another = std::exchange(last, worker) != worker;
-        if (another) ++silent;
-        return another;
+// Health of a zone, whose workers may all fail at once.
+struct ZoneHealth {
+    int unreachable = 0; // consecutive connection failures of different workers since one has answered
+    std::uint32_t last_unreachable = static_cast<std::uint32_t>(-1);
+    Time avoid_until{0};
+    // Returns false, and does not count, if it is the same worker as the last time.
+    bool record_unreachable(std::uint32_t worker) {
+        const bool is_another = std::exchange(last_unreachable, worker) != worker;
+        if (is_another) ++unreachable;
+        return is_another;
     }
 };
 
 struct TokenBucket {
     double tokens = 1;
     Time filled_at{0};
-    void add(double more, double most) { tokens = std::min(most, tokens + more); }
-    bool take_at(double per_s, Time now) { // saves up two seconds' worth at most, or one
+    void add(double amount, double capacity) { tokens = std::min(capacity, tokens + amount); }
+    // Refills at `per_s` and takes one token. The capacity is two seconds' worth of tokens, at least 1.
+    bool refill_and_take(double per_s, Time now) {
         add(per_s * seconds(now - std::exchange(filled_at, now)), std::max(1.0, 2 * per_s));
         return take();
     }
