--- a/src/common/identity/random_identity.h
+++ b/src/common/identity/random_identity.h
@@ -1,4 +1,4 @@
-// Identities that two processes, or two starts of one process, must not share.
+// Random identities that are unique across processes and restarts.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace willowrill::identity {
 
-// 64 random bits from the system's source. May be called from any thread; throws std::exception where the
-// system has no such source.
+// Returns 64 random bits from the operating system. Thread-safe. Throws std::exception if the system has no
+// source of randomness.
 inline std::uint64_t random_identity() {
     std::random_device device;
     return (std::uint64_t{device()} << 32U) ^ device();
--- a/src/common/policy/score.h
+++ b/src/common/policy/score.h
@@ -1,15 +1,16 @@
-// The score of PLUD (Priority Least Used with Degradation), docs/scheduler/design.md: L + I + X. The one
-// implementation, used by the scheduler in service (src/scheduler/dispatcher) and by the data plane of the
-// whole system (src/system/routing). Pure.
+// Score of PLUD (Priority Least Used with Degradation): L + I + X, see docs/scheduler/design.md. This is the
+// only implementation; the scheduler (src/scheduler/dispatcher) and the data plane (src/system/routing) share
+// it. Pure functions.
 #pragma once
 
 namespace willowrill::policy {
 
-// The score of a worker: the lowest one is selected. `load`: L and X together, the last report and own
-// dispatches since, each as a share of the worker's capacity. `tier_increment`: I, set by the worker's tier.
+// Score of a worker; the worker with the lowest score is selected. `load`: L + X, the last reported load plus
+// the load dispatched since, as fractions of the worker's capacity. `tier_increment`: I, which depends on the
+// worker's tier.
 constexpr double plud_score(double load, double tier_increment) { return load + tier_increment; }
 
-// X after one more dispatch that adds `load_increment`.
+// Returns X after one more dispatch that adds `load_increment`.
 constexpr double degradation_after(double degradation, double load_increment) {
     return degradation + load_increment;
 }
