--- a/tests/scheduler/dispatcher/random_test.cpp
+++ b/tests/scheduler/dispatcher/random_test.cpp
@@ -1,4 +1,5 @@
-// Seeded random events for one dispatcher, held against the ledger of the rules.
+// Drives one dispatcher with seeded random events and checks its actions against the rules. `Ledger` keeps
+// track of the jobs and reports violations.
 #include "support/bench.h"
 #include "support/ledger.h"
 
@@ -9,37 +10,38 @@
 namespace willowrill::testing {
 namespace {
 
+// Generates events, passes them to the dispatcher and feeds the actions back.
 class Driver {
   public:
-    // No worker here has more than seven slots.
+    // The ledger checks one dispatcher and assumes at most seven slots per worker.
     Driver(const Settings& settings, std::uint64_t seed)
         : settings_(settings), random_(seed), ledger_(settings, 1, 7) {}
 
     void run(Dispatcher& dispatcher) {
-        std::vector<Event> events{list(true)};
+        std::vector<Event> events{make_list_update(true)};
         for (now_ = 100s; now_ < 130s; now_ += settings_.tick) {
             if (now_ < 120s) add_arrivals(events);
             add_outcomes(events);
-            if (chance(0.01)) events.emplace_back(list(chance(0.3)));
-            if (settings_.list_on_request && chance(0.003)) {
+            if (with_probability(0.01)) events.emplace_back(make_list_update(with_probability(0.3)));
+            if (settings_.list_on_request && with_probability(0.003)) {
                 ledger_.told(0, now_, {EndpointListUpdate::Kind::broken, {}});
                 events.emplace_back(EndpointListUpdate{EndpointListUpdate::Kind::broken, {}});
             }
-            if (woken_ && *woken_ <= now_) {
+            if (wake_at_ && *wake_at_ <= now_) {
                 events.emplace_back(TimerExpired{});
-                woken_.reset();
+                wake_at_.reset();
             }
             if (events.empty()) continue;
             std::vector<Action> actions;
             dispatcher.handle(now_, events, actions);
             events.clear();
             for (const Action& action : actions)
-                note(action);
+                apply(action);
             ledger_.check(0, now_);
             ASSERT_TRUE(ledger_.broken.empty()) << ledger_.broken.front();
             std::erase_if(jobs_, [&](const auto& item) {
                 return !ledger_.open(0, item.first) &&
-                       std::ranges::count(item.second.out, none) == std::ssize(item.second.out);
+                       std::ranges::count(item.second.attempts, none) == std::ssize(item.second.attempts);
             });
         }
         EXPECT_GT(ledger_.sends, 50);
@@ -49,74 +51,78 @@
     struct Job {
         Index job_class = 0;
         double slots = 1;
-        std::vector<WorkerId> out{}; // by attempt; `none` once it has ended
+        std::vector<WorkerId> attempts{}; // worker of each attempt; `none` once it has ended
     };
 
-    bool chance(double p) { return static_cast<double>(random_() >> 11U) * 0x1.0p-53 < p; }
-    std::uint64_t below(std::uint64_t n) { return random_() % n; }
+    bool with_probability(double probability) {
+        return static_cast<double>(random_() >> 11U) * 0x1.0p-53 < probability;
+    }
+    std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
-    EndpointListUpdate list(bool complete) {
-        EndpointListUpdate news{
+    EndpointListUpdate make_list_update(bool complete) {
+        EndpointListUpdate update{
             complete ? EndpointListUpdate::Kind::complete : EndpointListUpdate::Kind::changes, {}};
         for (WorkerId id = 0; id < 12; ++id) {
-            if (!complete && !chance(0.2)) continue;
-            WorkerEntry entry = worker(id, static_cast<Condition>(chance(0.7) ? 0 : 1 + below(2)));
+            if (!complete && !with_probability(0.2)) continue;
+            WorkerEntry entry =
+                worker(id, static_cast<Condition>(with_probability(0.7) ? 0 : 1 + random_below(2)));
             if (complete && entry.condition == Condition::gone) entry.condition = Condition::draining;
-            if (chance(0.2)) up_since_[id] = now_ > 0s ? now_ - Duration(below(10'000'000'000)) : 0s;
+            if (with_probability(0.2))
+                up_since_[id] = now_ > 0s ? now_ - Duration(random_below(10'000'000'000)) : 0s;
             entry.up_since = up_since_[id];
             entry.zone = id % 3;
-            news.entries.push_back(entry);
+            update.entries.push_back(entry);
         }
-        ledger_.told(0, now_, news);
-        return news;
+        ledger_.told(0, now_, update);
+        return update;
     }
 
     void add_arrivals(std::vector<Event>& events) {
-        while (chance(0.6)) {
+        while (with_probability(0.6)) {
             JobId id = 0;
             while (jobs_.contains(id))
                 ++id;
-            JobArrived in = job(id, static_cast<Index>(below(settings_.classes.size())),
-                                1.0 + static_cast<double>(below(3)));
-            in.time_left = Duration(static_cast<std::int64_t>(1 + below(4'000'000'000)));
-            jobs_[id] = {.job_class = in.job_class, .slots = in.slots};
-            ledger_.arrived(0, id, in.job_class, now_ + in.time_left);
-            events.emplace_back(in);
+            JobArrived arrival = job(id, static_cast<Index>(random_below(settings_.classes.size())),
+                                     1.0 + static_cast<double>(random_below(3)));
+            arrival.time_left = Duration(static_cast<std::int64_t>(1 + random_below(4'000'000'000)));
+            jobs_[id] = {.job_class = arrival.job_class, .slots = arrival.slots};
+            ledger_.arrived(0, id, arrival.job_class, now_ + arrival.time_left);
+            events.emplace_back(arrival);
         }
     }
 
     void add_outcomes(std::vector<Event>& events) {
         for (auto& [id, job] : jobs_) {
-            if (ledger_.open(0, id) && chance(0.001)) {
+            if (ledger_.open(0, id) && with_probability(0.001)) {
                 ledger_.left(0, id);
                 events.emplace_back(JobAbandoned{id});
             }
-            for (Index i = 0; i < job.out.size(); ++i) {
-                if (job.out[i] == none) continue;
-                if (chance(0.03)) events.emplace_back(AttemptStarted{id, i, job.out[i]});
-                if (!chance(0.02)) continue;
-                const auto outcome = static_cast<Outcome>(below(8));
-                AttemptEnded event = ended(id, i, std::exchange(job.out[i], none), outcome);
+            for (Index i = 0; i < job.attempts.size(); ++i) {
+                if (job.attempts[i] == none) continue;
+                if (with_probability(0.03)) events.emplace_back(AttemptStarted{id, i, job.attempts[i]});
+                if (!with_probability(0.02)) continue;
+                const auto outcome = static_cast<Outcome>(random_below(8));
+                AttemptEnded event = ended(id, i, std::exchange(job.attempts[i], none), outcome);
                 ledger_.ended(0, id, i, outcome);
                 event.job_over = !ledger_.open(0, id) || outcome == Outcome::served;
-                if (chance(0.8))
-                    event.report =
-                        report(static_cast<double>(below(100)) / 100, static_cast<double>(below(6)));
+                if (with_probability(0.8))
+                    event.report = report(static_cast<double>(random_below(100)) / 100,
+                                          static_cast<double>(random_below(6)));
                 if (event.job_over) ledger_.left(0, id);
                 events.emplace_back(event);
             }
         }
     }
 
-    void note(const Action& action) {
+    void apply(const Action& action) {
         if (const auto* wake = std::get_if<Wake>(&action)) {
             ASSERT_GT(wake->at, now_);
-            woken_ = woken_ ? std::min(*woken_, wake->at) : wake->at;
+            wake_at_ = wake_at_ ? std::min(*wake_at_, wake->at) : wake->at;
         } else if (const auto* send = std::get_if<Send>(&action)) {
             ASSERT_TRUE(jobs_.contains(send->job));
             Job& job = jobs_[send->job];
-            ledger_.sent(0, send->job, send->worker, now_, job.slots * 0.1); // what each job here runs for
-            job.out.push_back(send->worker);
+            ledger_.sent(0, send->job, send->worker, now_, job.slots * 0.1); // every job runs for 0.1 s
+            job.attempts.push_back(send->worker);
         } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
             ledger_.refused(0, refuse->job, now_, refuse->retry_after);
         } else if (const auto* fail = std::get_if<Fail>(&action)) {
@@ -129,7 +135,7 @@
     const Settings& settings_;
     std::mt19937_64 random_;
     Time now_{0};
-    std::optional<Time> woken_;
+    std::optional<Time> wake_at_;
     Ledger ledger_;
     std::map<JobId, Job> jobs_;
     std::map<WorkerId, Time> up_since_;
--- a/tests/scheduler/dispatcher/rules_test.cpp
+++ b/tests/scheduler/dispatcher/rules_test.cpp
@@ -1,4 +1,5 @@
-// Each test is named for the failure it guards against.
+// Tests of the dispatch rules, by mechanism and rule. Each test drives one dispatcher with a sequence of
+// events and checks its actions.
 #include "support/bench.h"
 
 #include <algorithm>
@@ -7,13 +8,13 @@
 namespace willowrill::testing {
 namespace {
 
-// ---- The mechanism -------------------------------------------------------------------------------------
+// ---- Worker selection ----------------------------------------------------------------------------------
 
 TEST(Plud, LowestReportedLoadWins) {
     Stand stand;
     stand.at(0s, {whole_list(2), job(0), job(1)});
     ASSERT_EQ(stand.sends.size(), 2U);
-    ASSERT_NE(stand.sends[0].worker, stand.sends[1].worker); // X of the first has grown
+    ASSERT_NE(stand.sends[0].worker, stand.sends[1].worker); // the first send has increased X of its worker
     const WorkerId busy = stand.sends[0].worker, idle = stand.sends[1].worker;
     stand.at(1s, {ended(0, 0, busy, Outcome::served, report(0.8, 2)),
                   ended(1, 0, idle, Outcome::served, report(0.1, 9)), job(2)});
@@ -24,14 +25,14 @@
     Stand stand;
     stand.at(0s, {whole_list(1), job(0)});
     stand.at(1s, {ended(0, 0, 0, Outcome::served, report(0, 10))});
-    EndpointListUpdate second{EndpointListUpdate::Kind::changes, {worker(1)}};
-    stand.at(1s, {second, job(1), job(2), job(3), job(4)});
+    EndpointListUpdate second_worker{EndpointListUpdate::Kind::changes, {worker(1)}};
+    stand.at(1s, {second_worker, job(1), job(2), job(3), job(4)});
     const auto to_first = std::count_if(stand.sends.begin() + 1, stand.sends.end(),
                                         [](const Send& send) { return send.worker == 0; });
-    EXPECT_GT(to_first, 1); // the reported idle worker is ahead of the unknown one, until X has grown
+    EXPECT_GT(to_first, 1); // a worker reported idle ranks before one of unknown load until its X has grown
 }
 
-TEST(Plud, AReportThatLeftBeforeTheLastSendsDoesNotHideThem) {
+TEST(Plud, AReportMadeBeforeTheLastSendsDoesNotHideThem) {
     Stand stand;
     EndpointListUpdate list = whole_list(2);
     std::vector<Event> events{list};
@@ -41,20 +42,21 @@
     stand.at(0s, events);
     ASSERT_EQ(stand.sends.size(), 8U);
     const WorkerId first = stand.sends[0].worker;
-    // It says that it is idle, though three of our jobs are still there: it must not take all that comes.
+    // The worker reports that it is idle although three jobs of this dispatcher are still in flight there. It
+    // must not get all of the next jobs.
     stand.at(100ms, {ended(0, 0, first, Outcome::served, report(0, 10))});
     stand.sends.clear();
-    std::vector<Event> more;
+    std::vector<Event> arrivals;
     for (JobId id = 10; id < 18; ++id) {
-        more.emplace_back(job(id));
+        arrivals.emplace_back(job(id));
     }
-    stand.at(100ms, more);
+    stand.at(100ms, arrivals);
     EXPECT_LT(std::count_if(stand.sends.begin(), stand.sends.end(),
                             [&](const Send& send) { return send.worker == first; }),
               8);
 }
 
-TEST(Plud, ARestartedDispatcherDoesNotCrowdTheFirstOfTheList) {
+TEST(Plud, ARestartedDispatcherDoesNotPreferTheFirstWorkerOfTheList) {
     std::set<WorkerId> chosen;
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Settings s = settings();
@@ -79,12 +81,12 @@
     EXPECT_EQ(chosen.size(), 5U);
 }
 
-TEST(Plud, AnOldReportFadesSoThatABusyWorkerComesUpAgain) {
+TEST(Plud, AnOldReportFadesSoThatABusyWorkerIsSelectedAgain) {
     Stand stand;
     stand.at(0s, {whole_list(1), job(0)});
     stand.at(1s, {ended(0, 0, 0, Outcome::served, report(1, 0))});
-    EndpointListUpdate second{EndpointListUpdate::Kind::changes, {worker(1)}};
-    stand.at(1s, {second});
+    EndpointListUpdate second_worker{EndpointListUpdate::Kind::changes, {worker(1)}};
+    stand.at(1s, {second_worker});
     std::set<WorkerId> chosen;
     for (JobId id = 1; id < 40; ++id) {
         stand.at(600s + id * 10s, {job(id)});
@@ -94,7 +96,7 @@
     EXPECT_TRUE(chosen.contains(0));
 }
 
-TEST(Plud, AWorkerThatTurnsAwayIsSkippedAndDoesNotKeepWinning) {
+TEST(Plud, AWorkerThatRejectsAJobIsNotSelectedAgainAtOnce) {
     Stand stand;
     stand.at(0s, {whole_list(2), job(0)});
     const WorkerId full = stand.last_worker();
@@ -112,14 +114,14 @@
     stand.at(0s, {whole_list(2), job(0, 2, 4)});
     const WorkerId blocked = stand.last_worker();
     stand.at(1s, {TimerExpired{}});
-    // Free slots, says the report, but the job of four slots waits at the head of the queue.
+    // Free slots of this worker are of no use: a job of four slots waits at the head of its queue.
     stand.at(1s, {job(1)});
     EXPECT_NE(stand.last_worker(), blocked);
 }
 
-// Load that is never told was a mean of nothing, 0.5 for all: a worker with a queue was picked like any
-// other.
-TEST(Plud, WhereLoadIsNeverToldAWaitBeforeTheStartIsLoad) {
+// Without load reports, every worker had the initial load of 0.5, and a worker with a queue was selected like
+// any other.
+TEST(Plud, WithoutLoadReportsAWaitBeforeTheStartCountsAsLoad) {
     Settings s = settings();
     s.reports_with_answers = false;
     s.tells_start = true;
@@ -130,7 +132,7 @@
     ASSERT_NE(slow, other);
     stand.at(5ms, {AttemptStarted{1, 0, other}});
     const auto actions = stand.at(300ms, {TimerExpired{}, AttemptStarted{0, 0, slow}});
-    // Nothing was called off to move: that there is room elsewhere is not known.
+    // No attempt is cancelled to move its job: no other worker is known to have room.
     EXPECT_TRUE(all<Cancel>(actions).empty());
     stand.at(400ms, {ended(0, 0, slow, Outcome::served), ended(1, 0, other, Outcome::served)});
     for (JobId id = 2; id < 5; ++id)
@@ -156,29 +158,29 @@
 
 // ---- Health --------------------------------------------------------------------------------------------
 
-TEST(Health, AWorkerThatFailsAtOnceRests) {
+TEST(Health, AWorkerThatFailsAtOnceIsBackedOff) {
     Stand stand;
     stand.at(0s, {whole_list(5), job(0)});
-    const WorkerId bad = stand.last_worker();
-    stand.at(1ms, {ended(0, 0, bad, Outcome::error, report(0, 10))});
+    const WorkerId failing = stand.last_worker();
+    stand.at(1ms, {ended(0, 0, failing, Outcome::error, report(0, 10))});
     for (JobId id = 1; id < 10; ++id) {
         stand.at(2ms, {job(id)});
-        EXPECT_NE(stand.last_worker(), bad);
+        EXPECT_NE(stand.last_worker(), failing);
     }
 }
 
-TEST(Health, AfterRestItFirstServesAJobThatMayBeRepeated) {
+TEST(Health, AfterBackOffAWorkerGetsNoJobThatMustNotRunTwice) {
     Stand stand;
     stand.at(0s, {whole_list(5), job(0)});
-    const WorkerId bad = stand.last_worker();
-    stand.at(1ms, {ended(0, 0, bad, Outcome::error)});
-    for (JobId id = 1; id < 20; ++id) { // idle by far, were it trusted
+    const WorkerId failing = stand.last_worker();
+    stand.at(1ms, {ended(0, 0, failing, Outcome::error)});
+    for (JobId id = 1; id < 20; ++id) { // it would be the least loaded worker if it were trusted
         stand.at(1500ms, {job(id, 2)});
-        EXPECT_NE(stand.last_worker(), bad);
+        EXPECT_NE(stand.last_worker(), failing);
     }
 }
 
-TEST(Health, TroubleOfTheWholeFleetCondemnsNobody) {
+TEST(Health, FailuresOfTheWholeFleetExcludeNoWorker) {
     Stand stand;
     stand.at(0s, {whole_list(4), job(0), job(1), job(2)});
     for (JobId id = 0; id < 3; ++id) {
@@ -200,8 +202,8 @@
     stand.at(0s, {job(0, 2)}); // no worker is known
     std::vector<Action> actions;
     for (Time t = 0s; t <= 5s; t += 5ms) {
-        const auto more = stand.at(t, {TimerExpired{}});
-        actions.insert(actions.end(), more.begin(), more.end());
+        const auto new_actions = stand.at(t, {TimerExpired{}});
+        actions.insert(actions.end(), new_actions.begin(), new_actions.end());
     }
     EXPECT_EQ(all<Refuse>(actions).size() + all<Fail>(actions).size(), 1U);
 }
@@ -211,15 +213,15 @@
     stand.at(0s, {whole_list(2), job(0, 2)});
     std::vector<Action> actions;
     for (Time t = 5ms; t <= 5s; t += 5ms) {
-        const auto more = stand.at(t, {TimerExpired{}});
-        actions.insert(actions.end(), more.begin(), more.end());
+        const auto new_actions = stand.at(t, {TimerExpired{}});
+        actions.insert(actions.end(), new_actions.begin(), new_actions.end());
     }
     EXPECT_EQ(all<Fail>(actions).size(), 1U);
     actions = stand.at(6s, {ended(0, 0, stand.last_worker(), Outcome::error)});
     EXPECT_TRUE(all<Send>(actions).empty() && all<Fail>(actions).empty() && all<Refuse>(actions).empty());
 }
 
-TEST(RuleOne, AJobThatTheClientLeftIsNotAnswered) {
+TEST(RuleOne, AnAbandonedJobIsNotAnswered) {
     Stand stand;
     stand.at(0s, {whole_list(2), job(0)});
     const auto actions =
@@ -278,7 +280,7 @@
     stand.at(0s, {whole_list(8), job(0, 1)});
     stand.at(900ms, {ended(0, 0, stand.last_worker(), Outcome::error)});
     ASSERT_EQ(stand.sends.size(), 2U);
-    // The window counts from the first send, not from the second.
+    // The window starts at the first send, not at the second.
     EXPECT_TRUE(all<Send>(stand.at(1s, {ended(0, 1, stand.last_worker(), Outcome::error)})).empty());
 }
 
@@ -292,17 +294,17 @@
     stand.at(10ms,
              {EndpointListUpdate{EndpointListUpdate::Kind::changes, {worker(other, Condition::draining)}},
               ended(0, 0, first, Outcome::error)});
-    const EndpointListUpdate back{EndpointListUpdate::Kind::changes, {worker(other)}};
-    EXPECT_TRUE(all<Send>(stand.at(2s, {back, TimerExpired{}})).empty());
+    const EndpointListUpdate ready_again{EndpointListUpdate::Kind::changes, {worker(other)}};
+    EXPECT_TRUE(all<Send>(stand.at(2s, {ready_again, TimerExpired{}})).empty());
 }
 
-TEST(RuleTwo, ATurnedAwayJobInTwoListsIsSentOnce) {
+TEST(RuleTwo, AHeldJobThatAWorkerRejectsIsSentAgainOnce) {
     Stand stand;
     stand.at(0s, {job(0, 2)}); // held: no worker is known
     stand.at(60ms, {whole_list(1)});
     ASSERT_EQ(stand.sends.size(), 1U);
-    EndpointListUpdate more{EndpointListUpdate::Kind::changes, {worker(1), worker(2)}};
-    EXPECT_EQ(all<Send>(stand.at(70ms, {more, ended(0, 0, 0, Outcome::full), job(1)})).size(), 2U);
+    EndpointListUpdate new_workers{EndpointListUpdate::Kind::changes, {worker(1), worker(2)}};
+    EXPECT_EQ(all<Send>(stand.at(70ms, {new_workers, ended(0, 0, 0, Outcome::full), job(1)})).size(), 2U);
 }
 
 TEST(RuleTwo, WithoutSecondCopiesAnAttemptEndsBeforeTheNextIsSent) {
@@ -313,15 +315,15 @@
     stand.at(0s, {whole_list(4), job(0)});
     std::vector<Action> actions;
     for (Time t = 5ms; t < 400ms; t += 5ms) {
-        const auto more = stand.at(t, {TimerExpired{}});
-        actions.insert(actions.end(), more.begin(), more.end());
+        const auto new_actions = stand.at(t, {TimerExpired{}});
+        actions.insert(actions.end(), new_actions.begin(), new_actions.end());
     }
     EXPECT_EQ(all<Cancel>(actions).size(), 1U);
     EXPECT_TRUE(all<Send>(actions).empty());
     EXPECT_EQ(all<Send>(stand.at(400ms, {ended(0, 0, stand.last_worker(), Outcome::cancelled)})).size(), 1U);
 }
 
-// ---- Rule 3: drains are kept ---------------------------------------------------------------------------
+// ---- Rule 3: drains are respected ----------------------------------------------------------------------
 
 TEST(RuleThree, NothingNewGoesToADrainingOrGoneWorker) {
     for (const Condition condition : {Condition::draining, Condition::gone}) {
@@ -355,24 +357,25 @@
     EXPECT_EQ(stand.sends.size(), 1U);
 }
 
-TEST(RuleThree, TheListIsAskedForOftenEnoughThoughEveryCallFails) {
+TEST(RuleThree, TheListIsRequestedOftenEnoughThoughEveryRequestFails) {
     Settings s = settings();
     s.list_on_request = true;
     Stand stand(s);
     stand.at(0s, {whole_list(2)});
-    Time last_asked = 0s;
+    Time last_requested = 0s;
     stand.at(1ms, {EndpointListUpdate{EndpointListUpdate::Kind::broken, {}}});
     for (Time t = 5ms; t < 120s; t += 5ms) {
         if (all<WatchList>(stand.at(t, {TimerExpired{}})).empty()) continue;
-        EXPECT_LT(t - last_asked, s.list_valid);
-        last_asked = t;
+        EXPECT_LT(t - last_requested, s.list_valid);
+        last_requested = t;
         stand.at(t + 1ms, {EndpointListUpdate{EndpointListUpdate::Kind::broken, {}}});
     }
-    EXPECT_GT(last_asked, 100s);
+    EXPECT_GT(last_requested, 100s);
 }
 
-// It was taken for the new subscription's first word.
-TEST(RuleThree, TheListIsAskedForThoughSomeOfTheBrokenWatchStillComes) {
+// A late update of the broken subscription was taken for the first update of the new one, so that the list
+// was not requested again.
+TEST(RuleThree, TheListIsRequestedThoughUpdatesOfTheBrokenSubscriptionStillArrive) {
     Settings s = settings();
     s.list_on_request = true;
     for (const bool at_once : {false, true}) {
@@ -384,15 +387,15 @@
             stand.at(1ms, {EndpointListUpdate{EndpointListUpdate::Kind::broken, {}}});
             stand.at(2ms, {whole_list(2)});
         }
-        bool asked = false;
+        bool requested = false;
         for (Time t = 5ms; t < s.list_valid; t += 5ms)
-            asked = asked || !all<WatchList>(stand.at(t, {TimerExpired{}})).empty();
-        EXPECT_TRUE(asked);
+            requested = requested || !all<WatchList>(stand.at(t, {TimerExpired{}})).empty();
+        EXPECT_TRUE(requested);
     }
 }
 
-TEST(RuleThree, DispatchersThatStartTogetherAskAtDifferentTimes) {
-    std::set<Time> asked;
+TEST(RuleThree, DispatchersThatStartTogetherRequestTheListAtDifferentTimes) {
+    std::set<Time> request_times;
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         Settings s = settings();
         s.seed = seed;
@@ -401,15 +404,15 @@
         stand.at(0s, {EndpointListUpdate{EndpointListUpdate::Kind::remembered, {worker(0)}}});
         for (Time t = 0s; t < 10s; t += 5ms) {
             if (!all<WatchList>(stand.at(t, {TimerExpired{}})).empty()) {
-                asked.insert(t);
+                request_times.insert(t);
                 break;
             }
         }
     }
-    EXPECT_GT(asked.size(), 15U);
+    EXPECT_GT(request_times.size(), 15U);
 }
 
-// ---- Rule 4: no cold worker is pushed over -------------------------------------------------------------
+// ---- Rule 4: no cold worker is overloaded --------------------------------------------------------------
 
 TEST(RuleFour, ManyDispatchersTogetherStayWithinAColdWorkersBudget) {
     const Index dispatchers = 200;
@@ -419,19 +422,21 @@
         s.self = self;
         s.seed = self;
         s.dispatchers = dispatchers;
-        s.classes[0].aim = 1s; // the running time assumed at first
+        s.classes[0].aim = 1s; // also the initial estimate of the run time
         Stand stand(s);
         stand.at(100s,
                  {EndpointListUpdate{EndpointListUpdate::Kind::complete, {worker(0, Condition::ready, 100s)}},
                   job(0)});
         sent += static_cast<int>(stand.sends.size());
     }
-    // Present capacity is 0.3 of one slot or more, the multiple 3, the window 3 s: 2.7 jobs of a second.
+    // The budget is 2.7 jobs of one second: a capacity of at least 0.3 slots, times the overload multiple of
+    // 3, times the window of 3 s.
     EXPECT_LE(sent, 5);
 }
 
-// Their slots were taken for one each: 60 of 100 cold workers had a tenth of what they could bear.
-TEST(RuleFour, ColdWorkersOfUnknownSlotsBearAPartOfTheWorkByTheirWarmth) {
+// Workers of unknown slots were assumed to have one slot each, so that 60 of 100 cold workers got a tenth of
+// the work that they could take.
+TEST(RuleFour, ColdWorkersOfUnknownSlotsGetWorkByTheirWarmth) {
     Settings s = settings();
     s.reports_with_answers = false;
     s.tells_start = true;
@@ -440,23 +445,23 @@
     Stand stand(s);
     EndpointListUpdate list = whole_list(10);
     for (WorkerId id = 0; id < 5; ++id)
-        list.entries[id].up_since = 96s; // half warm by 100 s
+        list.entries[id].up_since = 96s; // in the middle of the warm-up at 100 s
     stand.at(100s, {list});
-    int cold = 0, all_sent = 0;
+    int sent_to_cold = 0, sent_total = 0;
     for (JobId id = 0; id < 400; ++id) {
         const Time at = 100s + id * 10ms;
         stand.at(at, {job(id)});
         ASSERT_EQ(stand.sends.size(), id + 1);
-        const WorkerId to = stand.last_worker();
-        cold += to < 5 ? 1 : 0;
-        ++all_sent;
-        stand.at(at + 5ms, {AttemptStarted{id, 0, to}, ended(id, 0, to, Outcome::served)});
+        const WorkerId target = stand.last_worker();
+        sent_to_cold += target < 5 ? 1 : 0;
+        ++sent_total;
+        stand.at(at + 5ms, {AttemptStarted{id, 0, target}, ended(id, 0, target, Outcome::served)});
     }
-    EXPECT_GT(cold, all_sent / 10);
-    EXPECT_LT(cold, all_sent * 3 / 5);
+    EXPECT_GT(sent_to_cold, sent_total / 10);
+    EXPECT_LT(sent_to_cold, sent_total * 3 / 5);
 }
 
-TEST(RuleFour, AWarmWorkerHasNoBudget) {
+TEST(RuleFour, AWarmWorkerIsNotLimitedByABudget) {
     Stand stand;
     stand.at(100s,
              {EndpointListUpdate{EndpointListUpdate::Kind::complete, {worker(0, Condition::ready, 90s)}},
@@ -466,38 +471,38 @@
 
 // ---- Holding, refusing, moving -------------------------------------------------------------------------
 
-TEST(Holding, AJobThatIsTooLateToBeWorthAnythingIsRefusedNotSent) {
+TEST(Holding, AJobTooLateToHaveWorthIsRefusedNotSent) {
     Stand stand;
     stand.at(0s, {job(0, 2)});
     std::vector<Action> actions;
     for (Time t = 5ms; t <= 2s; t += 5ms) {
-        const auto more = stand.at(t, {TimerExpired{}});
-        actions.insert(actions.end(), more.begin(), more.end());
+        const auto new_actions = stand.at(t, {TimerExpired{}});
+        actions.insert(actions.end(), new_actions.begin(), new_actions.end());
     }
     ASSERT_EQ(all<Refuse>(actions).size(), 1U);
     EXPECT_GT(all<Refuse>(actions)[0].retry_after, 0s);
 }
 
-// A burst left queues of jobs that all came late, and so did whatever came behind them, long after it was
-// over.
-TEST(Holding, AJobThatHasNotStartedWhenItCannotBeInTimeAnyMoreIsCalledOffAndAnswered) {
-    for (const Index of_class : {0U, 2U}) {
+// After a burst, queued jobs that could not be in time any more were still run, so that the jobs behind them
+// were late too, long after the burst.
+TEST(Holding, AnUnstartedJobThatCannotBeInTimeIsCancelledAndAnswered) {
+    for (const Index class_index : {0U, 2U}) {
         Settings s = settings();
         s.tells_start = true;
         Stand stand(s);
-        stand.at(0s, {whole_list(1), job(0, of_class), job(1, of_class)});
+        stand.at(0s, {whole_list(1), job(0, class_index), job(1, class_index)});
         ASSERT_EQ(stand.sends.size(), 2U);
         stand.at(5ms, {AttemptStarted{1, 0, 0}});
         std::vector<Action> actions;
         for (Time t = 10ms; t <= 2s; t += 5ms) {
-            const auto more = stand.at(t, {TimerExpired{}});
-            actions.insert(actions.end(), more.begin(), more.end());
+            const auto new_actions = stand.at(t, {TimerExpired{}});
+            actions.insert(actions.end(), new_actions.begin(), new_actions.end());
         }
-        // The class's aim is 400 ms and twice its run, and its clients wait for 5 s.
+        // The target latency is 400 ms plus twice the run time; clients wait for 5 s.
         ASSERT_EQ(all<Cancel>(actions).size(), 1U);
-        EXPECT_EQ(all<Cancel>(actions)[0].job, 0U); // not the one that runs
-        ASSERT_EQ(all<Refuse>(actions).size(), of_class == 0 ? 1U : 0U);
-        EXPECT_EQ(all<Fail>(actions).size(), of_class == 0 ? 0U : 1U); // it may have run: no refusal
+        EXPECT_EQ(all<Cancel>(actions)[0].job, 0U); // not the running job
+        ASSERT_EQ(all<Refuse>(actions).size(), class_index == 0 ? 1U : 0U);
+        EXPECT_EQ(all<Fail>(actions).size(), class_index == 0 ? 0U : 1U); // it may have run: not refused
         for (const Refuse& refusal : all<Refuse>(actions))
             EXPECT_GT(refusal.retry_after, 0s);
     }
@@ -513,20 +518,20 @@
     EXPECT_EQ(stand.sends[0].job, 1U);
 }
 
-TEST(Holding, JobsPastTheTenantsShareComeLast) {
+TEST(Holding, JobsBeyondTheTenantsQuotaComeLast) {
     Settings s = settings();
     s.tenants = {{0.5, 1}, {0.5, 100}};
     s.over_quota_worth = 0.2;
     Stand stand(s);
     std::vector<Event> events;
     for (JobId id = 0; id < 6; ++id) {
-        JobArrived one = job(id);
-        one.tenant = id < 5 ? 0 : 1;
-        events.emplace_back(one);
+        JobArrived arrival = job(id);
+        arrival.tenant = id < 5 ? 0 : 1;
+        events.emplace_back(arrival);
     }
     stand.at(10s, events);
     stand.at(10s + 50ms, {whole_list(1)});
-    ASSERT_GE(stand.sends.size(), 3U); // two of the first tenant's jobs are within its share
+    ASSERT_GE(stand.sends.size(), 3U); // two jobs of the first tenant are within its quota
     EXPECT_TRUE(std::any_of(stand.sends.begin(), stand.sends.begin() + 3,
                             [](const Send& send) { return send.job == 5; }));
 }
@@ -552,7 +557,7 @@
     EXPECT_TRUE(all<Cancel>(stand.at(1s, {TimerExpired{}})).empty());
 }
 
-TEST(Retries, TroubleDoesNotMultiplyTraffic) {
+TEST(Retries, FailuresDoNotMultiplyTraffic) {
     Stand stand;
     stand.at(0s, {whole_list(50)});
     std::size_t first_tries = 0;
@@ -560,11 +565,11 @@
         stand.at(id * 1ms, {job(id)});
         ++first_tries;
         for (Index attempt = 0; attempt < 3; ++attempt) {
-            const std::size_t before = stand.sends.size();
-            // A fresh report each: else it would be want of room that ends the sends.
+            const std::size_t sends_before = stand.sends.size();
+            // A different report each time, so that the sends are not ended by a lack of room instead.
             stand.at(id * 1ms,
                      {ended(id, attempt, stand.last_worker(), Outcome::error, report(0.001 * id, 9))});
-            if (stand.sends.size() == before) break;
+            if (stand.sends.size() == sends_before) break;
         }
     }
     EXPECT_LT(stand.sends.size(), first_tries * 3 / 2);
