--- a/tests/lab/start_test.cpp
+++ b/tests/lab/start_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testing::settle;
+using testing::run_until;
 
 std::string list_of(int version, const net::Endpoint& worker, const char* state) {
     return "{\"version\":" + std::to_string(version) + R"(,"full":true,"servers":[{"id":"w","addr":")" +
@@ -45,14 +45,14 @@
         process.emplace(loop, std::vector<std::string>{WILLOWRILLD},
                         std::vector<std::pair<std::string, std::string>>{
                             {"PROXY_CONFIG", folder.path + "/config"}, {"TMPDIR", ""}});
-        REQUIRE(settle(loop, [&] { return process->address_after("serves on ").has_value(); }));
-        client = testing::call(loop, *process->address_after("serves on "));
+        REQUIRE(run_until(loop, [&] { return process->address_after("serves on ").has_value(); }));
+        client = testing::connect_peer(loop, *process->address_after("serves on "));
         client->connection.write(
             "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"
             "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: job\r\n"
             "X-Timeout-Ms: 2000\r\nContent-Length: 2\r\n\r\nhi");
     }
-    bool answered_ready() const { return client->has("ready\n"); }
+    bool answered_ready() const { return client->has_received("ready\n"); }
     Started() : Started(*net::Endpoint::parse("127.0.0.1:1")) {}
 
     const Folder folder;
@@ -78,24 +78,25 @@
                          target = head.target;
                      }});
     Started at(discovery.address());
-    REQUIRE(settle(discovery_loop, [&] { return asked.has_value(); }));
+    REQUIRE(run_until(discovery_loop, [&] { return asked.has_value(); }));
     CHECK(target.find("from=1&hold_ms=1") != std::string::npos); // what is newer, and no wait
     // Room for what it must not do: without the rule, the answer and the job come within a few rounds.
     for (int round = 0; round < 300; ++round)
         at.loop.run_once(1ms);
-    CHECK(at.client->has("not ready"));
+    CHECK(at.client->has_received("not ready"));
     CHECK(at.jobs == 0);
-    at.client->got.clear();
+    at.client->received.clear();
     discovery.answer(*asked, net::http::write_response(200, {}, list_of(2, at.worker.address(), "draining")));
-    settle(discovery_loop, [&] { return at.client->has("HTTP/1.1 503 ") || (at.loop.run_once(1ms), false); });
-    CHECK(at.client->has("HTTP/1.1 503 ")); // its job, of which nothing has been sent
+    run_until(discovery_loop,
+              [&] { return at.client->has_received("HTTP/1.1 503 ") || (at.loop.run_once(1ms), false); });
+    CHECK(at.client->has_received("HTTP/1.1 503 ")); // its job, of which nothing has been sent
     CHECK(at.jobs == 0);
 }
 
 TEST_CASE("a start whose discovery cannot be reached serves on what it remembers") {
     Started at;
-    CHECK(settle(at.loop, [&] { return at.jobs == 1; }));
-    CHECK(settle(at.loop, [&] { return at.answered_ready(); }));
+    CHECK(run_until(at.loop, [&] { return at.jobs == 1; }));
+    CHECK(run_until(at.loop, [&] { return at.answered_ready(); }));
 }
 
 } // namespace willowrill::lab
--- a/tests/scheduler/admin/admin_test.cpp
+++ b/tests/scheduler/admin/admin_test.cpp
@@ -17,11 +17,11 @@
     void set_lame_duck(bool on) override { lame_duck_states.push_back(on); }
 
     std::string send_request(const std::string& request_line) {
-        const auto peer = call(loop, server.address());
+        const auto peer = connect_peer(loop, server.address());
         peer->connection.write(request_line + " HTTP/1.1\r\nHost: h\r\n\r\n");
-        CHECK(settle(loop, [&] { return peer->closed; })); // one request per connection
-        CHECK(peer->has("Connection: close\r\n"));
-        return peer->got.substr(9, 3) + peer->got.substr(peer->got.find("\r\n\r\n") + 4);
+        CHECK(run_until(loop, [&] { return peer->closed; })); // one request per connection
+        CHECK(peer->has_received("Connection: close\r\n"));
+        return peer->received.substr(9, 3) + peer->received.substr(peer->received.find("\r\n\r\n") + 4);
     }
 
     net::Loop loop;
@@ -61,13 +61,14 @@
     service.ready = true;
     std::vector<std::unique_ptr<Peer>> silent;
     for (std::size_t i = 0; i < admin::Server::max_connections + 2; ++i) {
-        silent.push_back(call(service.loop, service.server.address()));
+        silent.push_back(connect_peer(service.loop, service.server.address()));
         silent.back()->connection.write("GET /_re");
     }
     CHECK(service.send_request("GET /_ready").starts_with("200"));
     CHECK(service.server.counters().evicted >= 2);
-    CHECK(settle(service.loop,
-                 [&] { return std::ranges::all_of(silent, [](const auto& peer) { return peer->closed; }); }));
+    CHECK(run_until(service.loop, [&] {
+        return std::ranges::all_of(silent, [](const auto& peer) { return peer->closed; });
+    }));
     CHECK(service.server.counters().timed_out > 0);
 }
 
--- a/tests/scheduler/counts/property_test.cpp
+++ b/tests/scheduler/counts/property_test.cpp
@@ -1,6 +1,6 @@
 // Properties of count stores under any schedule of counts, exchanges with message loss, folds and restarts.
 #include "counts/fleet.h"
-#include "support/rapid.h"
+#include "support/check_property.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/scheduler/dispatcher/instances_test.cpp
+++ b/tests/scheduler/dispatcher/instances_test.cpp
@@ -1,7 +1,7 @@
 // Several modules in one process: each decides as it would alone, in turn with the others and beside them in
 // threads. The module has no thread and no lock, so this also runs under ThreadSanitizer (`.ci/run`).
-#include "support/ledger.h"
-#include "support/rapid.h"
+#include "support/check_property.h"
+#include "support/rule_checker.h"
 
 #include <string>
 #include <thread>
--- a/tests/scheduler/dispatcher/property_test.cpp
+++ b/tests/scheduler/dispatcher/property_test.cpp
@@ -2,8 +2,8 @@
 // clock do: 1, 3 and 100 schedulers beside the same workers, all held against the ledger, which knows no
 // module.
 #include "scheduler/core/host.h"
-#include "support/ledger.h"
-#include "support/rapid.h"
+#include "support/check_property.h"
+#include "support/rule_checker.h"
 
 #include <algorithm>
 #include <array>
@@ -117,7 +117,7 @@
     }
 
     // The sentence of the first broken rule, or nothing.
-    std::string broken() const { return ledger.broken.empty() ? "" : ledger.broken.front(); }
+    std::string broken() const { return ledger.violations.empty() ? "" : ledger.violations.front(); }
 
     // To the end of every client's time, with all that is out ended: nothing may be kept.
     void finish() {
@@ -139,7 +139,7 @@
     }
 
     template <class Sums> void add_to(Sums& seen) const {
-        seen.sent += ledger.sends;
+        seen.sent += ledger.send_count;
         for (const Node& node : nodes_) {
             seen.served += static_cast<int>(node.host.counters().served);
             seen.refused += static_cast<int>(node.host.counters().refused);
@@ -148,7 +148,7 @@
     }
 
     Time now = 1000s;
-    Ledger ledger;
+    RuleChecker ledger;
 
   private:
     struct Node;
@@ -156,15 +156,15 @@
         void on_served(std::string_view result) override {
             if (result != world->given_[id]) world->say("served with what no worker gave for it");
             over();
-            world->ledger.served(node->self, job, world->now);
+            world->ledger.on_served(node->self, job, world->now);
         }
         void on_refused(core::Duration stay_away) override {
             over();
-            world->ledger.refused(node->self, job, world->now, stay_away);
+            world->ledger.on_refused(node->self, job, world->now, stay_away);
         }
         void on_failed() override {
             over();
-            world->ledger.failed(node->self, job, world->now);
+            world->ledger.on_failed(node->self, job, world->now);
         }
         void over() {
             if (!open) world->say("a second answer");
@@ -198,7 +198,7 @@
         void start(core::JobId job, Index attempt, WorkerId worker, Time give_up, Time,
                    const core::Message& message) override {
             // A job is no more work than its worker has slots for, whatever its client claims.
-            world.ledger.sent(self, job, worker, world.now, std::min(message.slots, worker_slots) * job_s);
+            world.ledger.on_sent(self, job, worker, world.now, std::min(message.slots, worker_slots) * job_s);
             world.out_[{self, job, attempt}] = {this, message.id, worker, give_up};
             if (worker % 5 == 4 && attempt == 0) // out of reach, and known within the call
                 world.end({self, job, attempt}, Outcome::connect_failed, 0);
@@ -213,7 +213,7 @@
                 world.say("a worker was asked twice at once");
         }
         void watch(bool) override {
-            world.ledger.asked_for_list(self);
+            world.ledger.on_list_requested(self);
             if (!std::exchange(watching, true))
                 world.news_.emplace(world.now + 1ms, std::pair(this, world.whole_list()));
         }
@@ -225,7 +225,7 @@
         bool watching = true;
     };
 
-    void say(const std::string& what) { ledger.broken.push_back(what); }
+    void say(const std::string& what) { ledger.violations.push_back(what); }
 
     static WorkerEntry entry_of(WorkerId id) {
         return {.worker = id,
@@ -283,7 +283,7 @@
                               .deadline = one.deadline};
         const Index known = message.job_class;
         if (node.host.admit(std::move(message), one, one.job))
-            return ledger.arrived(node.self, one.job, known, one.deadline);
+            return ledger.on_job_arrived(node.self, one.job, known, one.deadline);
         if (node.host.holds(one.id)) say("turned away and held all the same");
         requesters_.pop_back();
     }
@@ -293,7 +293,7 @@
         if (found == out_.end()) return;
         const Out out = found->second;
         out_.erase(found);
-        ledger.ended(key.self, key.job, key.attempt, outcome);
+        ledger.on_attempt_ended(key.self, key.job, key.attempt, outcome);
         const bool reports = more % 4 != 0 && out.node->reports;
         const std::string result = "of " + out.id + " by " + std::to_string(key.attempt);
         if (outcome == Outcome::served) given_[out.id] = result;
@@ -340,13 +340,13 @@
         return news;
     }
     void tell(Node& node, const EndpointListUpdate& news) {
-        ledger.told(node.self, now, news);
+        ledger.on_list_update(node.self, now, news);
         node.host.handle_worker_list(news);
     }
 
     void leave(Requester& one) {
         one.open = false;
-        ledger.left(one.node->self, one.job);
+        ledger.on_job_left(one.node->self, one.job);
         one.node->host.client_left(one.job);
     }
 
--- a/tests/scheduler/dispatcher/random_test.cpp
+++ b/tests/scheduler/dispatcher/random_test.cpp
@@ -1,7 +1,7 @@
 // Drives one dispatcher with seeded random events and checks its actions against the rules. `Ledger` keeps
 // track of the jobs and reports violations.
-#include "support/bench.h"
-#include "support/ledger.h"
+#include "support/dispatcher_bench.h"
+#include "support/rule_checker.h"
 
 #include <algorithm>
 #include <map>
@@ -24,7 +24,7 @@
             add_outcomes(events);
             if (with_probability(0.01)) events.emplace_back(make_list_update(with_probability(0.3)));
             if (settings_.list_on_request && with_probability(0.003)) {
-                ledger_.told(0, now_, {EndpointListUpdate::Kind::broken, {}});
+                ledger_.on_list_update(0, now_, {EndpointListUpdate::Kind::broken, {}});
                 events.emplace_back(EndpointListUpdate{EndpointListUpdate::Kind::broken, {}});
             }
             if (wake_at_ && *wake_at_ <= now_) {
@@ -38,13 +38,13 @@
             for (const Action& action : actions)
                 apply(action);
             ledger_.check(0, now_);
-            ASSERT_TRUE(ledger_.broken.empty()) << ledger_.broken.front();
+            ASSERT_TRUE(ledger_.violations.empty()) << ledger_.violations.front();
             std::erase_if(jobs_, [&](const auto& item) {
-                return !ledger_.open(0, item.first) &&
+                return !ledger_.is_open(0, item.first) &&
                        std::ranges::count(item.second.attempts, none) == std::ssize(item.second.attempts);
             });
         }
-        EXPECT_GT(ledger_.sends, 50);
+        EXPECT_GT(ledger_.send_count, 50);
     }
 
   private:
@@ -73,7 +73,7 @@
             entry.zone = id % 3;
             update.entries.push_back(entry);
         }
-        ledger_.told(0, now_, update);
+        ledger_.on_list_update(0, now_, update);
         return update;
     }
 
@@ -86,15 +86,15 @@
                                      1.0 + static_cast<double>(random_below(3)));
             arrival.time_left = Duration(static_cast<std::int64_t>(1 + random_below(4'000'000'000)));
             jobs_[id] = {.job_class = arrival.job_class, .slots = arrival.slots};
-            ledger_.arrived(0, id, arrival.job_class, now_ + arrival.time_left);
+            ledger_.on_job_arrived(0, id, arrival.job_class, now_ + arrival.time_left);
             events.emplace_back(arrival);
         }
     }
 
     void add_outcomes(std::vector<Event>& events) {
         for (auto& [id, job] : jobs_) {
-            if (ledger_.open(0, id) && with_probability(0.001)) {
-                ledger_.left(0, id);
+            if (ledger_.is_open(0, id) && with_probability(0.001)) {
+                ledger_.on_job_left(0, id);
                 events.emplace_back(JobAbandoned{id});
             }
             for (Index i = 0; i < job.attempts.size(); ++i) {
@@ -102,13 +102,13 @@
                 if (with_probability(0.03)) events.emplace_back(AttemptStarted{id, i, job.attempts[i]});
                 if (!with_probability(0.02)) continue;
                 const auto outcome = static_cast<Outcome>(random_below(8));
-                AttemptEnded event = ended(id, i, std::exchange(job.attempts[i], none), outcome);
-                ledger_.ended(0, id, i, outcome);
-                event.job_over = !ledger_.open(0, id) || outcome == Outcome::served;
+                AttemptEnded event = attempt_ended(id, i, std::exchange(job.attempts[i], none), outcome);
+                ledger_.on_attempt_ended(0, id, i, outcome);
+                event.job_over = !ledger_.is_open(0, id) || outcome == Outcome::served;
                 if (with_probability(0.8))
                     event.report = report(static_cast<double>(random_below(100)) / 100,
                                           static_cast<double>(random_below(6)));
-                if (event.job_over) ledger_.left(0, id);
+                if (event.job_over) ledger_.on_job_left(0, id);
                 events.emplace_back(event);
             }
         }
@@ -121,14 +121,14 @@
         } else if (const auto* send = std::get_if<Send>(&action)) {
             ASSERT_TRUE(jobs_.contains(send->job));
             Job& job = jobs_[send->job];
-            ledger_.sent(0, send->job, send->worker, now_, job.slots * 0.1); // every job runs for 0.1 s
+            ledger_.on_sent(0, send->job, send->worker, now_, job.slots * 0.1); // every job runs for 0.1 s
             job.attempts.push_back(send->worker);
         } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-            ledger_.refused(0, refuse->job, now_, refuse->retry_after);
+            ledger_.on_refused(0, refuse->job, now_, refuse->retry_after);
         } else if (const auto* fail = std::get_if<Fail>(&action)) {
-            ledger_.failed(0, fail->job, now_);
+            ledger_.on_failed(0, fail->job, now_);
         } else if (std::holds_alternative<WatchList>(action)) {
-            ledger_.asked_for_list(0);
+            ledger_.on_list_requested(0);
         }
     }
 
@@ -136,7 +136,7 @@
     std::mt19937_64 random_;
     Time now_{0};
     std::optional<Time> wake_at_;
-    Ledger ledger_;
+    RuleChecker ledger_;
     std::map<JobId, Job> jobs_;
     std::map<WorkerId, Time> up_since_;
 };
--- a/tests/scheduler/dispatcher/scale_test.cpp
+++ b/tests/scheduler/dispatcher/scale_test.cpp
@@ -1,7 +1,7 @@
 // What only many dispatchers show: instances of the real module side by side in virtual time, with workers
 // that are slots, queues and late reports, and nothing else. Seeds are fixed.
 #include "scheduler/load_estimates/learn.h"
-#include "support/ledger.h"
+#include "support/rule_checker.h"
 
 #include <willowrill/dispatcher.h>
 
--- a/tests/scheduler/hot_restart/upgrade_test.cpp
+++ b/tests/scheduler/hot_restart/upgrade_test.cpp
@@ -42,7 +42,7 @@
 request_listener_from(net::Loop& loop, const std::string& socket_path, const net::Endpoint& address) {
     auto listener = std::async(std::launch::async,
                                [&] { return hot_restart::request_listener(socket_path, address, 10s); });
-    CHECK(settle(loop, [&] { return listener.wait_for(0s) == std::future_status::ready; }));
+    CHECK(run_until(loop, [&] { return listener.wait_for(0s) == std::future_status::ready; }));
     return listener.get();
 }
 
@@ -63,7 +63,7 @@
     struct stat socket_status {};
     REQUIRE(::stat(socket_path.c_str(), &socket_status) == 0);
     CHECK((socket_status.st_mode & 0777) == 0600);
-    const auto waiting = call(loop, address); // in the queue, not accepted
+    const auto waiting = connect_peer(loop, address); // in the queue, not accepted
 
     FakeProcess new_process(loop, socket_path, request_listener_from(loop, socket_path, address));
     CHECK(new_process.restart.has_peer());
@@ -72,20 +72,20 @@
     CHECK(old_process->peer_changes > 0); // reduced its limits before it reported its descriptors
     CHECK_FALSE(old_process->restart.successor_serves());
     new_process.restart.start_serving();
-    CHECK(settle(loop, [&] { return old_process->restart.successor_serves(); }));
+    CHECK(run_until(loop, [&] { return old_process->restart.successor_serves(); }));
     CHECK(old_process->successor_serves == true);
-    CHECK(settle(loop,
-                 [&] { return new_process.restart.holds("a"); })); // opened before the new process connected
+    CHECK(run_until(
+        loop, [&] { return new_process.restart.holds("a"); })); // opened before the new process connected
     old_process->restart.on_message_closed("a");
     old_process->restart.on_message_opened("b");
     new_process.restart.on_message_opened("c");
-    CHECK(settle(loop, [&] { return new_process.restart.holds("b") && old_process->restart.holds("c"); }));
+    CHECK(run_until(loop, [&] { return new_process.restart.holds("b") && old_process->restart.holds("c"); }));
     CHECK_FALSE(new_process.restart.holds("a"));
     CHECK_FALSE(new_process.restart.holds("c")); // its own message
     old_process->descriptors = 60;
-    CHECK(settle(loop, [&] { return new_process.restart.predecessor_descriptors() == 60; }));
+    CHECK(run_until(loop, [&] { return new_process.restart.predecessor_descriptors() == 60; }));
     old_process.reset(); // also closes its copy of the listener
-    CHECK(settle(loop, [&] { return !new_process.restart.has_peer(); }));
+    CHECK(run_until(loop, [&] { return !new_process.restart.has_peer(); }));
     CHECK(new_process.restart.predecessor_descriptors() == 0);
     CHECK_FALSE(new_process.restart.holds("b"));
     CHECK(net::accept_from(new_process.fd).valid());
@@ -109,7 +109,7 @@
         if (i % 2 == 0) old_process.restart.on_message_closed("old " + std::to_string(i));
     }
     new_process.restart.start_serving();
-    CHECK(settle(loop, [&] { return old_process.successor_serves == true; }));
+    CHECK(run_until(loop, [&] { return old_process.successor_serves == true; }));
     const auto all_known = [&] {
         for (int i = 0; i < 5000; ++i) {
             const std::string at = std::to_string(i);
@@ -119,7 +119,7 @@
         }
         return true;
     };
-    CHECK(settle(loop, all_known));
+    CHECK(run_until(loop, all_known));
 }
 
 TEST_CASE("upgrade: when the new process dies, the old one goes on serving and accepts another successor") {
@@ -132,9 +132,9 @@
     {
         FakeProcess short_lived(loop, socket_path, request_listener_from(loop, socket_path, address));
         short_lived.restart.start_serving();
-        CHECK(settle(loop, [&] { return old_process.restart.successor_serves(); }));
+        CHECK(run_until(loop, [&] { return old_process.restart.successor_serves(); }));
     }
-    CHECK(settle(loop, [&] { return !old_process.restart.has_peer(); }));
+    CHECK(run_until(loop, [&] { return !old_process.restart.has_peer(); }));
     CHECK(old_process.successor_serves == false);
     CHECK(request_listener_from(loop, socket_path, address));
 }
--- a/tests/scheduler/net/connection_test.cpp
+++ b/tests/scheduler/net/connection_test.cpp
@@ -171,9 +171,9 @@
         const Listener closed_listener(loop); // leaves a port on which nobody listens
         unused_address = closed_listener.address;
     }
-    const auto peer = call(loop, unused_address);
+    const auto peer = connect_peer(loop, unused_address);
     peer->connection.write("hello");
-    CHECK(settle(loop, [&] { return peer->closed; }));
+    CHECK(run_until(loop, [&] { return peer->closed; }));
     CHECK_FALSE(peer->connection.all_sent());
 }
 
--- a/tests/scheduler/program/clock_jump_test.cpp
+++ b/tests/scheduler/program/clock_jump_test.cpp
@@ -1,6 +1,6 @@
 // The assembled components after a pause of the process (a jump of the clock): the number of rounds until the
 // event loop waits again, with few and with many connections, half of them with a job in progress.
-#include "support/rig.h"
+#include "support/scheduler_fixture.h"
 
 #include <doctest/doctest.h>
 
@@ -26,16 +26,17 @@
     explicit PausedRig(std::size_t connections) : rig(connections + 2, connections + 2) {
         for (std::size_t i = 0; i < connections; ++i) {
             const bool with_job = i % 2 == 0;
-            clients.push_back(rig.client(with_job ? Rig::job(std::to_string(i + 1)) : ""));
+            clients.push_back(
+                rig.connect_client(with_job ? SchedulerFixture::job_request(std::to_string(i + 1)) : ""));
         }
-        rig.settle([&] { return rig.front.size() == connections && !rig.worker.peers.empty(); });
+        rig.run_until([&] { return rig.front.size() == connections && !rig.worker.peers.empty(); });
         rounds_until_wait(rig.loop);
     }
     int rounds_after(net::Duration pause) {
         rig.loop.jump(pause);
         return rounds_until_wait(rig.loop);
     }
-    Rig rig;
+    SchedulerFixture rig;
     std::vector<std::unique_ptr<Peer>> clients;
 };
 
@@ -62,10 +63,10 @@
     PausedRig paused(few_connections);
     paused.rounds_after(300s);
     const std::size_t peers_before = paused.rig.worker.peers.size();
-    const auto client = paused.rig.client(Rig::job("77"));
-    REQUIRE(paused.rig.settle([&] { return paused.rig.host.counters().admitted > few_connections / 2; }));
-    CHECK(paused.rig.settle(
-        [&] { return paused.rig.worker.peers.size() > peers_before || client->has("HTTP/1.1 "); }));
+    const auto client = paused.rig.connect_client(SchedulerFixture::job_request("77"));
+    REQUIRE(paused.rig.run_until([&] { return paused.rig.host.counters().admitted > few_connections / 2; }));
+    CHECK(paused.rig.run_until(
+        [&] { return paused.rig.worker.peers.size() > peers_before || client->has_received("HTTP/1.1 "); }));
 }
 
 } // namespace willowrill::testing
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -3,7 +3,7 @@
 #include "scheduler/discovery_client/list.h"
 #include "scheduler/frontend/request.h"
 #include "scheduler/upstream/response_reader.h"
-#include "support/rapid.h"
+#include "support/check_property.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/scheduler/support/bench.h
+++ b/tests/scheduler/support/dispatcher_bench.h
@@ -47,7 +47,7 @@
     return {.worker = id, .key = id, .up_since = up_since, .cell = id / 2, .condition = condition};
 }
 
-inline EndpointListUpdate whole_list(WorkerId count) {
+inline EndpointListUpdate complete_list(WorkerId count) {
     EndpointListUpdate list{EndpointListUpdate::Kind::complete, {}};
     for (WorkerId id = 0; id < count; ++id) {
         list.entries.push_back(worker(id));
@@ -59,12 +59,12 @@
     return {.job = id, .job_class = of_class, .time_left = 5s, .slots = slots};
 }
 
-class Stand {
+class DispatcherBench {
   public:
-    explicit Stand(Settings settings = testing::settings()) : dispatcher_(std::move(settings)) {}
+    explicit DispatcherBench(Settings settings = testing::settings()) : dispatcher_(std::move(settings)) {}
 
     // Handles the events at the time given and returns the actions.
-    std::vector<Action> at(Time now, std::vector<Event> events = {}) {
+    std::vector<Action> handle(Time now, std::vector<Event> events = {}) {
         std::vector<Action> actions;
         dispatcher_.handle(now, events, actions);
         for (const Action& action : actions) {
@@ -82,7 +82,7 @@
     Dispatcher dispatcher_;
 };
 
-template <class Kind> std::vector<Kind> all(const std::vector<Action>& actions) {
+template <class Kind> std::vector<Kind> actions_of(const std::vector<Action>& actions) {
     std::vector<Kind> found;
     for (const Action& action : actions) {
         if (const auto* one = std::get_if<Kind>(&action)) found.push_back(*one);
@@ -90,8 +90,8 @@
     return found;
 }
 
-inline AttemptEnded ended(JobId job, Index attempt, WorkerId worker, Outcome outcome,
-                          std::optional<Report> report = {}) {
+inline AttemptEnded attempt_ended(JobId job, Index attempt, WorkerId worker, Outcome outcome,
+                                  std::optional<Report> report = {}) {
     return {.job = job,
             .attempt = attempt,
             .worker = worker,
--- a/tests/scheduler/support/ledger.h
+++ b/tests/scheduler/support/rule_checker.h
@@ -38,20 +38,20 @@
     return out;
 }
 
-class Ledger {
+class RuleChecker {
   public:
     // `playing` of the settings' dispatchers are here; `worker_slots`: the most that any worker has.
-    Ledger(Settings settings, std::size_t playing, double worker_slots)
+    RuleChecker(Settings settings, std::size_t playing, double worker_slots)
         : settings_(std::move(settings)),
           share_(static_cast<double>(playing) / static_cast<double>(settings_.dispatchers)),
           worker_slots_(worker_slots), views_(playing) {}
 
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     Effect effect_of(Index job_class) const { return settings_.classes[job_class].effect; }
 
     // ---- What a dispatcher is told -----------------------------------------------------------------------
 
-    void told(Index self, Time now, const EndpointListUpdate& news) {
+    void on_list_update(Index self, Time now, const EndpointListUpdate& news) {
         View& view = views_[self];
         if (news.kind == EndpointListUpdate::Kind::broken) {
             view.asked_for_list_by = now + settings_.list_valid;
@@ -71,13 +71,13 @@
             up = entry.up_since;
         }
     }
-    void arrived(Index self, JobId id, Index job_class, Time deadline) {
+    void on_job_arrived(Index self, JobId id, Index job_class, Time deadline) {
         Job& job = views_[self].jobs[id];
         if (!job.over || any_out(job)) say("a job's id was given away while it was in use", self, id);
         job = {.job_class = job_class, .deadline = deadline, .over = false};
     }
-    void left(Index self, JobId id) { views_[self].jobs[id].over = true; }
-    void ended(Index self, JobId id, Index attempt, Outcome outcome) {
+    void on_job_left(Index self, JobId id) { views_[self].jobs[id].over = true; }
+    void on_attempt_ended(Index self, JobId id, Index attempt, Outcome outcome) {
         std::vector<Attempt>& attempts = views_[self].jobs[id].attempts;
         if (attempt >= attempts.size()) return; // of a job that has broken a rule, and is gone
         Attempt& ended = attempts[attempt];
@@ -88,9 +88,9 @@
 
     // ---- What it does -------------------------------------------------------------------------------------
 
-    void served(Index self, JobId id, Time now) { answer(self, id, now, "served"); }
-    void failed(Index self, JobId id, Time now) { answer(self, id, now, "failed"); }
-    void refused(Index self, JobId id, Time now, Duration stay_away) {
+    void on_served(Index self, JobId id, Time now) { answer(self, id, now, "served"); }
+    void on_failed(Index self, JobId id, Time now) { answer(self, id, now, "failed"); }
+    void on_refused(Index self, JobId id, Time now, Duration stay_away) {
         answer(self, id, now, "refused");
         const Job& job = views_[self].jobs[id];
         const JobClass& c = settings_.classes[job.job_class];
@@ -102,8 +102,8 @@
         if (stay_away > settings_.max_retry_after) say("sent away for longer than clients heed", self, id);
     }
     // `work`: what it will be at the worker, in slot-seconds.
-    void sent(Index self, JobId id, WorkerId to, Time now, double work) {
-        ++sends;
+    void on_sent(Index self, JobId id, WorkerId to, Time now, double work) {
+        ++send_count;
         Job& job = views_[self].jobs[id];
         const JobClass& c = settings_.classes[job.job_class];
         if (job.over) say("sent after its end", self, id);
@@ -128,7 +128,7 @@
         bear(to, now, work);
         job.attempts.push_back({to, now});
     }
-    void asked_for_list(Index self) { views_[self].asked_for_list_by.reset(); }
+    void on_list_requested(Index self) { views_[self].asked_for_list_by.reset(); }
 
     // ---- At any time --------------------------------------------------------------------------------------
 
@@ -152,9 +152,9 @@
         }
         std::erase_if(view.jobs, [](const auto& item) { return item.second.over && !any_out(item.second); });
     }
-    bool open(Index self, JobId id) { return !views_[self].jobs[id].over; }
+    bool is_open(Index self, JobId id) { return !views_[self].jobs[id].over; }
 
-    int sends = 0;
+    int send_count = 0;
 
   private:
     struct Attempt {
@@ -179,8 +179,8 @@
     };
 
     void say(const std::string& what, Index self, JobId id) {
-        broken.push_back(what + ": dispatcher " + std::to_string(self) +
-                         (id == none ? "" : ", job " + std::to_string(id)));
+        violations.push_back(what + ": dispatcher " + std::to_string(self) +
+                             (id == none ? "" : ", job " + std::to_string(id)));
     }
     void answer(Index self, JobId id, Time now, const char* how) {
         Job& job = views_[self].jobs[id];
--- a/tests/scheduler/support/rig.h
+++ b/tests/scheduler/support/scheduler_fixture.h
@@ -15,10 +15,10 @@
 config::Settings test_settings(); // of parts_test.cpp
 
 // One worker, known from the start, and a front for as many clients as the test wants.
-class Rig {
+class SchedulerFixture {
   public:
-    explicit Rig(std::size_t most_clients = 10, std::size_t most_attempts = 10,
-                 config::Settings given = test_settings())
+    explicit SchedulerFixture(std::size_t most_clients = 10, std::size_t most_attempts = 10,
+                              config::Settings given = test_settings())
         : settings(std::move(given)), list(settings.names),
           pool(loop, list, settings.report_fields,
                {.connections = most_attempts, .idle = 5s, .connect_timeout = settings.connect_timeout}),
@@ -42,26 +42,28 @@
         return "{\"version\":" + std::to_string(version) + R"(,"full":true,"servers":[{"id":"s1","addr":")" +
                address.text() + R"(","zone":"a","kind":"m1","state":"up","started_ms":0}]})";
     }
-    std::unique_ptr<Peer> client(const std::string& text) {
-        auto peer = call(loop, front.address());
+    std::unique_ptr<Peer> connect_client(const std::string& text) {
+        auto peer = connect_peer(loop, front.address());
         peer->connection.write(text);
         return peer;
     }
-    static std::string job(const std::string& id, const std::string& more = "X-Timeout-Ms: 5000\r\n") {
+    static std::string job_request(const std::string& id,
+                                   const std::string& more = "X-Timeout-Ms: 5000\r\n") {
         return "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: once\r\n" +
                more + "Content-Length: 2\r\n\r\nhi";
     }
-    static std::string done(const std::string& id, const std::string& result) {
+    static std::string done_response(const std::string& id, const std::string& result) {
         return net::http::write_response(
             200, {}, R"({"id":")" + id + R"(","state":"done","result":")" + result + "\"}\n");
     }
-    template <class Done> bool settle(Done done) { return testing::settle(loop, done); }
-    void wait(net::Duration span) {
+    template <class Done> bool run_until(Done done) { return testing::run_until(loop, done); }
+    void run_for(net::Duration span) {
         const net::Time start = loop.now();
-        settle([&] { return loop.now() - start > span; });
+        run_until([&] { return loop.now() - start > span; });
     }
-    bool worker_has(std::size_t peer, std::string_view text) {
-        return settle([&] { return worker.peers.size() > peer && worker.peers[peer]->has(text); });
+    bool worker_receives(std::size_t peer, std::string_view text) {
+        return run_until(
+            [&] { return worker.peers.size() > peer && worker.peers[peer]->has_received(text); });
     }
 
     const config::Settings settings;
@@ -75,8 +77,8 @@
 };
 
 // An address at which connections never come up: its queue is full and nobody takes from it.
-struct Deaf {
-    Deaf()
+struct SaturatedListener {
+    SaturatedListener()
         : listener(net::listen_on(*net::Endpoint::parse("127.0.0.1:0"))),
           address(net::local_address(listener)) {
         ::listen(listener.get(), 0);
--- a/tests/scheduler/support/sockets.h
+++ b/tests/scheduler/support/sockets.h
@@ -15,7 +15,7 @@
 using namespace std::chrono_literals;
 
 // Runs the loop until `done`; the bound only ends a test that has failed.
-template <class Done> bool settle(net::Loop& loop, Done done) {
+template <class Done> bool run_until(net::Loop& loop, Done done) {
     for (int round = 0; round < 20000 && !done(); ++round) {
         loop.run_once(1ms);
     }
@@ -28,13 +28,13 @@
     Peer(net::Loop& loop, net::Fd fd, net::Connection::State state)
         : connection(loop, *this, std::move(fd), state, 1U << 20U) {}
     void on_input() override {
-        got += connection.input();
+        received += connection.input();
         connection.consume(connection.input().size());
     }
     void on_closed() override { closed = true; }
-    bool has(std::string_view text) const { return got.find(text) != std::string::npos; }
+    bool has_received(std::string_view text) const { return received.find(text) != std::string::npos; }
 
-    std::string got;
+    std::string received;
     bool closed = false;
     net::Connection connection;
 };
@@ -63,7 +63,7 @@
     std::deque<std::unique_ptr<Peer>> peers;
 };
 
-inline std::unique_ptr<Peer> call(net::Loop& loop, const net::Endpoint& address) {
+inline std::unique_ptr<Peer> connect_peer(net::Loop& loop, const net::Endpoint& address) {
     return std::make_unique<Peer>(loop, net::connect_to(address), net::Connection::State::opening);
 }
 
