--- a/tests/scheduler/support/rule_checker.h
+++ b/tests/scheduler/support/rule_checker.h
@@ -1,5 +1,6 @@
-// What the rules ask of dispatchers, held against what they were told and did. It knows the rules, the
-// settings and the workers as they are, and nothing of the module. A broken rule is kept as a sentence.
+// Checks the observable behaviour of dispatchers against the platform's rules. The checker sees only the
+// settings and the dispatchers' inputs and outputs; it is independent of how the dispatcher module is
+// implemented.
 #pragma once
 
 #include <willowrill/dispatcher.h>
@@ -13,146 +14,162 @@
 
 namespace willowrill::testing {
 
-// A site with two zones and two kinds, and the platform's limits and safety figures. Classes are the test's.
+// Settings of dispatcher number `self` out of `dispatchers` at a site with two zones and two worker kinds,
+// with the platform's limits and safety parameters. The test adds the job classes.
 inline Settings site_settings(Index self, Index dispatchers) {
     using namespace std::chrono_literals;
-    Settings out;
-    out.seed = 7 + self;
-    out.self = self;
-    out.dispatchers = dispatchers;
-    out.zones = out.kinds = 2;
-    out.zone = self % 2;
-    out.tick = 5ms;
-    out.list_on_request = out.reports_with_answers = true;
-    out.may_cancel = out.second_copies = out.clients_honor_retry_after = true;
-    out.max_attempts = 4;
-    out.max_retry_after = 2s;
-    out.connection_idle = 5s;
-    out.answer_slack = 20ms;
-    out.drain_grace = 1s;
-    out.list_valid = 2s; // a run lasts longer
-    out.cold_time = 9s;
-    out.cold_capacity = 0.4;
-    out.overload_multiple = 2.5;
-    out.overload_time = 1s;
-    return out;
+    Settings result;
+    result.seed = 7 + self;
+    result.self = self;
+    result.dispatchers = dispatchers;
+    result.zones = result.kinds = 2;
+    result.zone = self % 2;
+    result.tick = 5ms;
+    result.list_on_request = result.reports_with_answers = true;
+    result.may_cancel = result.second_copies = result.clients_honor_retry_after = true;
+    result.max_attempts = 4;
+    result.max_retry_after = 2s;
+    result.connection_idle = 5s;
+    result.answer_slack = 20ms;
+    result.drain_grace = 1s;
+    result.list_valid = 2s; // shorter than a test run, so that the list must be requested again
+    result.cold_time = 9s;
+    result.cold_capacity = 0.4;
+    result.overload_multiple = 2.5;
+    result.overload_time = 1s;
+    return result;
 }
 
+// Is told each event that a dispatcher receives and each action that it takes, and records every broken rule.
+// Several dispatchers with the same settings share one checker; `self` is the number of the one that acts.
 class RuleChecker {
   public:
-    // `playing` of the settings' dispatchers are here; `worker_slots`: the most that any worker has.
-    RuleChecker(Settings settings, std::size_t playing, double worker_slots)
+    // `tested_dispatchers`: how many of the settings' dispatchers take part in the test. `worker_slots`: the
+    // largest number of slots of any worker.
+    RuleChecker(Settings settings, std::size_t tested_dispatchers, double worker_slots)
         : settings_(std::move(settings)),
-          share_(static_cast<double>(playing) / static_cast<double>(settings_.dispatchers)),
-          worker_slots_(worker_slots), views_(playing) {}
+          tested_share_(static_cast<double>(tested_dispatchers) / static_cast<double>(settings_.dispatchers)),
+          worker_slots_(worker_slots), dispatchers_(tested_dispatchers) {}
 
-    std::vector<std::string> violations;
+    std::vector<std::string> violations; // descriptions of the broken rules, in the order of detection
     Effect effect_of(Index job_class) const { return settings_.classes[job_class].effect; }
 
-    // ---- What a dispatcher is told -----------------------------------------------------------------------
+    // ---- Events that a dispatcher receives ---------------------------------------------------------------
 
-    void on_list_update(Index self, Time now, const EndpointListUpdate& news) {
-        View& view = views_[self];
-        if (news.kind == EndpointListUpdate::Kind::broken) {
-            view.asked_for_list_by = now + settings_.list_valid;
+    void on_list_update(Index self, Time now, const EndpointListUpdate& update) {
+        DispatcherState& dispatcher = dispatchers_[self];
+        if (update.kind == EndpointListUpdate::Kind::broken) {
+            dispatcher.list_request_due = now + settings_.list_valid;
             return;
         }
-        if (news.kind != EndpointListUpdate::Kind::changes) {
-            for (auto& [id, listed] : view.listed)
-                listed.off_since = listed.off_since.value_or(now);
+        if (update.kind != EndpointListUpdate::Kind::changes) {
+            for (auto& [id, listed] : dispatcher.listed)
+                listed.unavailable_since = listed.unavailable_since.value_or(now);
         }
-        for (const WorkerEntry& entry : news.entries) {
-            Listed& listed = view.listed[entry.worker];
-            const bool off = entry.condition != Condition::ready;
-            const Time since = listed.off_since.value_or(now);
-            listed = {entry, off ? std::optional(since) : std::nullopt};
-            Time& up = up_since_[entry.worker];
-            if (up != entry.up_since) cold_sends_[entry.worker].clear();
-            up = entry.up_since;
+        for (const WorkerEntry& entry : update.entries) {
+            ListedWorker& listed = dispatcher.listed[entry.worker];
+            const bool unavailable = entry.condition != Condition::ready;
+            const Time since = listed.unavailable_since.value_or(now);
+            listed = {entry, unavailable ? std::optional(since) : std::nullopt};
+            Time& known_up_since = up_since_[entry.worker];
+            if (known_up_since != entry.up_since) cold_sends_[entry.worker].clear();
+            known_up_since = entry.up_since;
         }
     }
     void on_job_arrived(Index self, JobId id, Index job_class, Time deadline) {
-        Job& job = views_[self].jobs[id];
-        if (!job.over || any_out(job)) say("a job's id was given away while it was in use", self, id);
-        job = {.job_class = job_class, .deadline = deadline, .over = false};
+        Job& job = dispatchers_[self].jobs[id];
+        if (!job.closed || has_outstanding_attempt(job))
+            add_violation("a job id was assigned again while it was still in use", self, id);
+        job = {.job_class = job_class, .deadline = deadline, .closed = false};
     }
-    void on_job_left(Index self, JobId id) { views_[self].jobs[id].over = true; }
+    void on_job_left(Index self, JobId id) { dispatchers_[self].jobs[id].closed = true; }
     void on_attempt_ended(Index self, JobId id, Index attempt, Outcome outcome) {
-        std::vector<Attempt>& attempts = views_[self].jobs[id].attempts;
-        if (attempt >= attempts.size()) return; // of a job that has broken a rule, and is gone
-        Attempt& ended = attempts[attempt];
-        ended.out = false;
-        ended.never_ran =
+        std::vector<Attempt>& attempts = dispatchers_[self].jobs[id].attempts;
+        if (attempt >= attempts.size()) return; // the job broke a rule and has been removed
+        Attempt& ended_attempt = attempts[attempt];
+        ended_attempt.outstanding = false;
+        ended_attempt.never_ran =
             outcome == Outcome::full || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
     }
 
-    // ---- What it does -------------------------------------------------------------------------------------
+    // ---- Actions that a dispatcher takes ------------------------------------------------------------------
 
-    void on_served(Index self, JobId id, Time now) { answer(self, id, now, "served"); }
-    void on_failed(Index self, JobId id, Time now) { answer(self, id, now, "failed"); }
+    void on_served(Index self, JobId id, Time now) { record_answer(self, id, now, "served"); }
+    void on_failed(Index self, JobId id, Time now) { record_answer(self, id, now, "failed"); }
     void on_refused(Index self, JobId id, Time now, Duration stay_away) {
-        answer(self, id, now, "refused");
-        const Job& job = views_[self].jobs[id];
-        const JobClass& c = settings_.classes[job.job_class];
-        const bool harmless = c.effect == Effect::repeatable ||
-                              (c.effect == Effect::keyed && c.repeat_scope == RepeatScope::all);
-        if (!harmless && first_that_may_have_run(job) != nullptr) say("refused what may have run", self, id);
+        record_answer(self, id, now, "refused");
+        const Job& job = dispatchers_[self].jobs[id];
+        const JobClass& job_class = settings_.classes[job.job_class];
+        const bool retry_is_harmless =
+            job_class.effect == Effect::repeatable ||
+            (job_class.effect == Effect::keyed && job_class.repeat_scope == RepeatScope::all);
+        if (!retry_is_harmless && first_possibly_run(job) != nullptr)
+            add_violation("a job that may have run was refused", self, id);
         if (settings_.clients_honor_retry_after && stay_away <= Duration(0))
-            say("refused without saying when to come back", self, id);
-        if (stay_away > settings_.max_retry_after) say("sent away for longer than clients heed", self, id);
+            add_violation("a job was refused without a retry delay", self, id);
+        if (stay_away > settings_.max_retry_after)
+            add_violation("a job was refused with a retry delay above the maximum", self, id);
     }
-    // `work`: what it will be at the worker, in slot-seconds.
+    // An attempt of the job was sent. `work`: the work that it causes at the worker, in slot-seconds.
     void on_sent(Index self, JobId id, WorkerId to, Time now, double work) {
         ++send_count;
-        Job& job = views_[self].jobs[id];
-        const JobClass& c = settings_.classes[job.job_class];
-        if (job.over) say("sent after its end", self, id);
-        if (job.attempts.size() >= settings_.max_attempts) say("too many attempts", self, id);
-        if (!settings_.second_copies && any_out(job)) say("a second copy", self, id);
-        if (const Attempt* first = first_that_may_have_run(job)) {
-            if (c.effect == Effect::once) say("sent again what must not run twice", self, id);
-            if (c.effect == Effect::keyed && now - first->sent > c.repeat_window)
-                say("a repeat past its window", self, id);
-            if (c.effect == Effect::keyed && !same_group(self, c.repeat_scope, first->worker, to))
-                say("a repeat outside its group", self, id);
+        Job& job = dispatchers_[self].jobs[id];
+        const JobClass& job_class = settings_.classes[job.job_class];
+        if (job.closed) add_violation("a job was sent after its final answer", self, id);
+        if (job.attempts.size() >= settings_.max_attempts) add_violation("too many attempts", self, id);
+        if (!settings_.second_copies && has_outstanding_attempt(job))
+            add_violation("a second attempt was sent while another is outstanding", self, id);
+        if (const Attempt* first = first_possibly_run(job)) {
+            if (job_class.effect == Effect::once)
+                add_violation("a job that must not run twice was sent again", self, id);
+            if (job_class.effect == Effect::keyed && now - first->sent > job_class.repeat_window)
+                add_violation("a keyed job was repeated after its repeat window", self, id);
+            if (job_class.effect == Effect::keyed &&
+                !same_group(self, job_class.repeat_scope, first->worker, to))
+                add_violation("a keyed job was repeated outside its repeat scope", self, id);
         }
-        const auto listed = views_[self].listed.find(to);
-        if (listed == views_[self].listed.end()) {
-            say("sent to a worker that no list has named", self, id);
+        const auto listed = dispatchers_[self].listed.find(to);
+        if (listed == dispatchers_[self].listed.end()) {
+            add_violation("a job was sent to a worker that has never been listed", self, id);
         } else {
-            const Listed& worker = listed->second;
-            if (worker.off_since && now - *worker.off_since > settings_.drain_grace)
-                say("sent to a worker that drains or is gone", self, id);
-            if (c.kind != none && c.kind != worker.entry.kind) say("sent to the wrong kind", self, id);
+            const ListedWorker& worker = listed->second;
+            if (worker.unavailable_since && now - *worker.unavailable_since > settings_.drain_grace)
+                add_violation("a job was sent to a draining or gone worker", self, id);
+            if (job_class.kind != none && job_class.kind != worker.entry.kind)
+                add_violation("a job was sent to a worker of the wrong kind", self, id);
         }
-        bear(to, now, work);
+        check_cold_load(to, now, work);
         job.attempts.push_back({to, now});
     }
-    void on_list_requested(Index self) { views_[self].asked_for_list_by.reset(); }
+    void on_list_requested(Index self) { dispatchers_[self].list_request_due.reset(); }
 
-    // ---- At any time --------------------------------------------------------------------------------------
+    // ---- Checks and state ---------------------------------------------------------------------------------
 
-    // After all of `self`'s work of this moment. What has nothing out and cannot be sent any more must have
-    // been answered when that became known, and nothing may reach its deadline unsent.
+    // Checks the deadlines of dispatcher `self`; call it once the dispatcher has handled everything that is
+    // due at `now`. Every job must be answered by its deadline, and a job without an outstanding attempt that
+    // no worker may run any more must be answered as soon as that is known.
     void check(Index self, Time now) {
-        View& view = views_[self];
-        if (view.asked_for_list_by && now > *view.asked_for_list_by) {
-            say("the list was not asked for in time", self, none);
-            view.asked_for_list_by.reset();
+        DispatcherState& dispatcher = dispatchers_[self];
+        if (dispatcher.list_request_due && now > *dispatcher.list_request_due) {
+            add_violation("the worker list was not requested in time", self, none);
+            dispatcher.list_request_due.reset();
         }
-        for (auto& [id, job] : view.jobs) {
-            if (job.over) continue;
+        for (auto& [id, job] : dispatcher.jobs) {
+            if (job.closed) continue;
             if (now > job.deadline + settings_.answer_slack) {
-                say("no answer in time", self, id);
-                job.over = true;
-            } else if (!any_out(job) && now + settings_.tick < job.deadline && nobody_left(self, job, now)) {
-                say("kept waiting though nobody is left that may run it", self, id);
-                job.over = true;
+                add_violation("a job was not answered in time", self, id);
+                job.closed = true;
+            } else if (!has_outstanding_attempt(job) && now + settings_.tick < job.deadline &&
+                       no_worker_left(self, job, now)) {
+                add_violation("a job is held although no worker may run it any more", self, id);
+                job.closed = true;
             }
         }
-        std::erase_if(view.jobs, [](const auto& item) { return item.second.over && !any_out(item.second); });
+        std::erase_if(dispatcher.jobs, [](const auto& item) {
+            return item.second.closed && !has_outstanding_attempt(item.second);
+        });
     }
-    bool is_open(Index self, JobId id) { return !views_[self].jobs[id].over; }
+    bool is_open(Index self, JobId id) { return !dispatchers_[self].jobs[id].closed; }
 
     int send_count = 0;
 
@@ -160,88 +177,100 @@
     struct Attempt {
         WorkerId worker = 0;
         Time sent{0};
-        bool out = true, never_ran = false;
+        bool outstanding = true, never_ran = false;
     };
     struct Job {
         Index job_class = 0;
         Time deadline{0};
-        bool over = true;
+        bool closed = true;
         std::vector<Attempt> attempts{};
     };
-    struct Listed {
+    struct ListedWorker {
         WorkerEntry entry{};
-        std::optional<Time> off_since{}; // when it was first told to drain or to be gone
+        std::optional<Time> unavailable_since{}; // when it was first reported as draining, gone or unlisted
     };
-    struct View {
-        std::map<WorkerId, Listed> listed{};
+    struct DispatcherState { // as far as it follows from the events and actions
+        std::map<WorkerId, ListedWorker> listed{};
         std::map<JobId, Job> jobs{};
-        std::optional<Time> asked_for_list_by{};
+        std::optional<Time> list_request_due{};
     };
 
-    void say(const std::string& what, Index self, JobId id) {
-        violations.push_back(what + ": dispatcher " + std::to_string(self) +
+    void add_violation(const std::string& description, Index self, JobId id) {
+        violations.push_back(description + ": dispatcher " + std::to_string(self) +
                              (id == none ? "" : ", job " + std::to_string(id)));
     }
-    void answer(Index self, JobId id, Time now, const char* how) {
-        Job& job = views_[self].jobs[id];
-        if (job.over) say(std::string(how) + " after its end", self, id);
-        if (now > job.deadline + settings_.answer_slack) say(std::string(how) + " too late", self, id);
-        job.over = true;
+    // Records a final answer; `answer_kind` is its name in descriptions.
+    void record_answer(Index self, JobId id, Time now, const char* answer_kind) {
+        Job& job = dispatchers_[self].jobs[id];
+        if (job.closed) add_violation(std::string(answer_kind) + " after the job's final answer", self, id);
+        if (now > job.deadline + settings_.answer_slack)
+            add_violation(std::string(answer_kind) + " after the job's deadline", self, id);
+        job.closed = true;
+    }
+    static bool has_outstanding_attempt(const Job& job) {
+        return std::ranges::count(job.attempts, true, &Attempt::outstanding) > 0;
     }
-    static bool any_out(const Job& job) { return std::ranges::count(job.attempts, true, &Attempt::out) > 0; }
-    static const Attempt* first_that_may_have_run(const Job& job) {
-        const auto found =
-            std::ranges::find_if(job.attempts, [](const Attempt& a) { return a.out || !a.never_ran; });
+    static const Attempt* first_possibly_run(const Job& job) {
+        const auto found = std::ranges::find_if(
+            job.attempts, [](const Attempt& attempt) { return attempt.outstanding || !attempt.never_ran; });
         return found == job.attempts.end() ? nullptr : &*found;
     }
-    bool same_group(Index self, RepeatScope scope, WorkerId a, WorkerId b) {
+    // Whether both workers belong to the same group of workers that drop each other's repeats.
+    bool same_group(Index self, RepeatScope scope, WorkerId first_id, WorkerId second_id) {
         if (scope == RepeatScope::all) return true;
-        const WorkerEntry &one = views_[self].listed[a].entry, &two = views_[self].listed[b].entry;
-        return scope == RepeatScope::zone ? one.zone == two.zone : one.cell == two.cell;
+        const WorkerEntry &first = dispatchers_[self].listed[first_id].entry,
+                          &second = dispatchers_[self].listed[second_id].entry;
+        return scope == RepeatScope::zone ? first.zone == second.zone : first.cell == second.cell;
     }
-    // Of a job that was sent: where it may go again. (The module sends a job to each worker once.)
-    bool nobody_left(Index self, const Job& job, Time now) {
+    // Whether a job that has been sent may not be sent to any worker again. A dispatcher sends a job to each
+    // worker at most once.
+    bool no_worker_left(Index self, const Job& job, Time now) {
         if (job.attempts.empty()) return false;
-        const JobClass& c = settings_.classes[job.job_class];
-        const Attempt* first = first_that_may_have_run(job);
+        const JobClass& job_class = settings_.classes[job.job_class];
+        const Attempt* first = first_possibly_run(job);
         if (job.attempts.size() >= settings_.max_attempts) return true;
-        if (first != nullptr && c.effect == Effect::once) return true;
-        const bool bound = first != nullptr && c.effect == Effect::keyed;
-        if (bound && now - first->sent > c.repeat_window) return true;
-        return std::ranges::none_of(views_[self].listed, [&](const auto& item) {
+        if (first != nullptr && job_class.effect == Effect::once) return true;
+        const bool needs_same_group = first != nullptr && job_class.effect == Effect::keyed;
+        if (needs_same_group && now - first->sent > job_class.repeat_window) return true;
+        return std::ranges::none_of(dispatchers_[self].listed, [&](const auto& item) {
             const auto& [id, listed] = item;
-            return !listed.off_since && (c.kind == none || c.kind == listed.entry.kind) &&
-                   (!bound || same_group(self, c.repeat_scope, first->worker, id)) &&
+            return !listed.unavailable_since &&
+                   (job_class.kind == none || job_class.kind == listed.entry.kind) &&
+                   (!needs_same_group || same_group(self, job_class.repeat_scope, first->worker, id)) &&
                    std::ranges::count(job.attempts, id, &Attempt::worker) == 0;
         });
     }
-    // All dispatchers together: over no window may a cold worker be sent more than the multiple of what it
-    // can do at that moment. One job more is chance, and so is half of the largest job for each dispatcher's
-    // share of one.
-    void bear(WorkerId to, Time now, double work) {
-        const Time up = up_since_[to];
-        if (up <= Time(0) || now - up >= settings_.cold_time) return;
-        auto& sent = cold_sends_[to];
-        std::erase_if(sent, [&](const auto& one) { return one.first + settings_.overload_time < now; });
-        sent.emplace_back(now, work);
-        double sum = 0, largest = 0;
-        for (const auto& [at, one] : sent) {
-            sum += one;
-            largest = std::max(largest, one);
+    // All dispatchers together must not send a cold worker, within any window of `overload_time`, more than
+    // `overload_multiple` times the work that it can do at that moment. The check covers the share of the
+    // dispatchers that take part in the test. One job more is chance, and so is half of the largest job for
+    // each dispatcher's share of one.
+    void check_cold_load(WorkerId to, Time now, double work) {
+        const Time up_since = up_since_[to];
+        if (up_since <= Time(0) || now - up_since >= settings_.cold_time) return;
+        auto& recent_sends = cold_sends_[to];
+        std::erase_if(recent_sends,
+                      [&](const auto& send) { return send.first + settings_.overload_time < now; });
+        recent_sends.emplace_back(now, work);
+        double total_work = 0, largest_work = 0;
+        for (const auto& [sent_at, sent_work] : recent_sends) {
+            total_work += sent_work;
+            largest_work = std::max(largest_work, sent_work);
         }
-        const auto in_s = [](Duration d) { return std::chrono::duration<double>(d).count(); };
-        const double age = std::max(0.0, in_s(now - up) / in_s(settings_.cold_time));
-        const double warmth = settings_.cold_capacity + (1 - settings_.cold_capacity) * age;
-        const double bears =
-            settings_.overload_multiple * warmth * worker_slots_ * in_s(settings_.overload_time);
-        if (sum > bears * share_ + largest) say("a cold worker was pushed over", none, none);
+        const auto to_seconds = [](Duration d) { return std::chrono::duration<double>(d).count(); };
+        const double warm_up_share =
+            std::max(0.0, to_seconds(now - up_since) / to_seconds(settings_.cold_time));
+        const double capacity_share = settings_.cold_capacity + (1 - settings_.cold_capacity) * warm_up_share;
+        const double max_work = settings_.overload_multiple * capacity_share * worker_slots_ *
+                                to_seconds(settings_.overload_time);
+        if (total_work > max_work * tested_share_ + largest_work)
+            add_violation("a cold worker was overloaded", none, none);
     }
 
     Settings settings_;
-    double share_, worker_slots_;
-    std::vector<View> views_; // by dispatcher
+    double tested_share_, worker_slots_;
+    std::vector<DispatcherState> dispatchers_;
     std::map<WorkerId, Time> up_since_;
-    std::map<WorkerId, std::vector<std::pair<Time, double>>> cold_sends_;
+    std::map<WorkerId, std::vector<std::pair<Time, double>>> cold_sends_; // time and work of each
 };
 
 } // namespace willowrill::testing
--- a/tests/scheduler/support/sockets.h
+++ b/tests/scheduler/support/sockets.h
@@ -1,4 +1,5 @@
-// Small helpers for tests on real sockets: loopback, ports that the system picks, no waiting by the clock.
+// Helpers for tests on real loopback sockets. The system picks the ports, and tests wait for conditions
+// rather than for fixed times.
 #pragma once
 
 #include "scheduler/net/connection.h"
@@ -14,15 +15,16 @@
 
 using namespace std::chrono_literals;
 
-// Runs the loop until `done`; the bound only ends a test that has failed.
-template <class Done> bool run_until(net::Loop& loop, Done done) {
-    for (int round = 0; round < 20000 && !done(); ++round) {
+// Runs the loop until `condition` returns true, and returns its last value. The limit on rounds is only
+// reached by a test that fails.
+template <class Condition> bool run_until(net::Loop& loop, Condition condition) {
+    for (int round = 0; round < 20000 && !condition(); ++round) {
         loop.run_once(1ms);
     }
-    return done();
+    return condition();
 }
 
-// The other side of a connection, which keeps what it reads.
+// The remote end of a connection under test; it stores everything that it receives.
 class Peer final : public net::Connection::Owner {
   public:
     Peer(net::Loop& loop, net::Fd fd, net::Connection::State state)
@@ -39,7 +41,7 @@
     net::Connection connection;
 };
 
-// Listens on a port of the system's choice and keeps every connection that comes.
+// Listens on a loopback port picked by the system, and accepts and keeps every connection.
 class Listener final : public net::Pollable {
   public:
     explicit Listener(net::Loop& loop)
@@ -60,9 +62,10 @@
 
   public:
     const net::Endpoint address;
-    std::deque<std::unique_ptr<Peer>> peers;
+    std::deque<std::unique_ptr<Peer>> peers; // in the order in which they were accepted
 };
 
+// Starts to connect to the address; the connection may not be established yet on return.
 inline std::unique_ptr<Peer> connect_peer(net::Loop& loop, const net::Endpoint& address) {
     return std::make_unique<Peer>(loop, net::connect_to(address), net::Connection::State::opening);
 }
