--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -1,5 +1,5 @@
-// Events that meet in a bad order: the other side ends, or the list changes, just when something waits. Each
-// test makes that order happen with scripted peers, and does not wait for it by the clock.
+// Tests of unfavourable event orders: a peer closes its connection or the worker list changes while something
+// is pending. Each test forces its order with scripted peers instead of relying on timing.
 #include "scheduler/frontend/arrival_times.h"
 #include "scheduler/load_estimates/books.h"
 #include "support/scheduler_fixture.h"
@@ -9,145 +9,151 @@
 namespace willowrill::testing {
 namespace {
 
-// Connections may take as long as they like, and workers need not heed a cancellation.
+// Settings under which connections may take up to an hour to come up and attempts are not cancelled.
 config::Settings patient_settings() {
-    config::Settings out = test_settings();
-    out.connect_timeout = out.decisions.connect_timeout = 1h;
-    out.decisions.may_cancel = false;
-    for (willowrill::JobClass& job_class : out.decisions.classes)
+    config::Settings result = test_settings();
+    result.connect_timeout = result.decisions.connect_timeout = 1h;
+    result.decisions.may_cancel = false;
+    for (willowrill::JobClass& job_class : result.decisions.classes)
         job_class.aim = job_class.give_up = 1h;
-    return out;
+    return result;
 }
 
-const std::string patient = "X-Timeout-Ms: 3600000\r\n";
+const std::string long_timeout_header = "X-Timeout-Ms: 3600000\r\n";
 
-std::uint64_t ended(const SchedulerFixture& rig, willowrill::Outcome outcome) {
-    return rig.host.counters().outcomes[static_cast<std::size_t>(outcome)];
+std::uint64_t outcome_count(const SchedulerFixture& fixture, willowrill::Outcome outcome) {
+    return fixture.host.counters().outcomes[static_cast<std::size_t>(outcome)];
 }
 
-// The worker of the rig is at an address where connections do not come up, and one of them is out.
-struct Stalled {
-    Stalled() {
-        rig.host.handle_worker_list(*rig.list.read(SchedulerFixture::list_text(42, deaf.address)));
-        client = rig.connect_client(SchedulerFixture::job_request("a", patient));
-        REQUIRE(rig.run_until([&] { return rig.pool.size() == 1; }));
+// A fixture whose worker is at an address where connections do not come up, with one job that waits for such
+// a connection.
+struct StalledConnection {
+    StalledConnection() {
+        fixture.host.handle_worker_list(
+            *fixture.list.read(SchedulerFixture::list_text(42, saturated_listener.address)));
+        client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header));
+        REQUIRE(fixture.run_until([&] { return fixture.pool.size() == 1; }));
     }
-    // Lets connections come up, in the order in which they were begun, and gives what the last one says.
+    // Accepts the pending connections in the order in which they were started, and returns the complete
+    // request that the worker receives on the last one.
     std::string next_request() {
-        std::string got;
-        rig.run_until([&] {
-            if (net::Fd fd = net::accept_from(deaf.listener); fd.valid())
+        std::string request;
+        fixture.run_until([&] {
+            if (net::Fd fd = net::accept_from(saturated_listener.listener); fd.valid())
                 peers.push_back(
-                    std::make_unique<Peer>(rig.loop, std::move(fd), net::Connection::State::open));
-            got = peers.empty() ? "" : peers.back()->received;
-            return got.find("\r\n\r\nhi") != std::string::npos;
+                    std::make_unique<Peer>(fixture.loop, std::move(fd), net::Connection::State::open));
+            request = peers.empty() ? "" : peers.back()->received;
+            return request.find("\r\n\r\nhi") != std::string::npos;
         });
-        return got;
+        return request;
     }
-    const SaturatedListener deaf;
-    SchedulerFixture rig{10, 10, patient_settings()};
+    const SaturatedListener saturated_listener;
+    SchedulerFixture fixture{10, 10, patient_settings()};
     std::unique_ptr<Peer> client;
     std::vector<std::unique_ptr<Peer>> peers;
 };
 
 } // namespace
 
-// Where cancelling is not allowed, the request went out some 0.2 s after its client had gone.
-TEST_CASE("a client that leaves while the connection to a worker comes up takes its request with it") {
-    Stalled at;
-    at.client->connection.close();
-    CHECK(at.rig.run_until([&] { return at.rig.pool.size() == 0; }));
-    CHECK(ended(at.rig, willowrill::Outcome::not_sent) == 1);
-    CHECK(at.rig.host.counters().clients_left == 1);
+// Guards against sending the request some 0.2 s after its client has left, where cancelling is not allowed.
+TEST_CASE("a request is withdrawn if its client leaves while the connection to the worker comes up") {
+    StalledConnection stalled;
+    stalled.client->connection.close();
+    CHECK(stalled.fixture.run_until([&] { return stalled.fixture.pool.size() == 0; }));
+    CHECK(outcome_count(stalled.fixture, willowrill::Outcome::not_sent) == 1);
+    CHECK(stalled.fixture.host.counters().clients_left == 1);
 }
 
-TEST_CASE("a worker that begins to drain while its connection comes up is not sent the request") {
-    Stalled at;
-    std::string drains = SchedulerFixture::list_text(43, at.deaf.address);
-    at.rig.host.handle_worker_list(
-        *at.rig.list.read(drains.replace(drains.find("\"up\""), 4, "\"draining\"")));
-    at.rig.pool.close_unlisted();
-    CHECK(at.rig.pool.size() == 0);
-    CHECK(ended(at.rig, willowrill::Outcome::not_sent) == 1);
-    CHECK_FALSE(at.client->closed); // its job looks for another worker
+TEST_CASE("a worker that starts to drain while its connection comes up does not get the request") {
+    StalledConnection stalled;
+    std::string draining_list = SchedulerFixture::list_text(43, stalled.saturated_listener.address);
+    stalled.fixture.host.handle_worker_list(
+        *stalled.fixture.list.read(draining_list.replace(draining_list.find("\"up\""), 4, "\"draining\"")));
+    stalled.fixture.pool.close_unlisted();
+    CHECK(stalled.fixture.pool.size() == 0);
+    CHECK(outcome_count(stalled.fixture, willowrill::Outcome::not_sent) == 1);
+    CHECK_FALSE(stalled.client->closed); // its job waits for another worker
 }
 
-// The figure was that of the moment at which the connection was begun.
-TEST_CASE("a worker is told the time that is left when its connection has come up") {
-    Stalled at;
-    const net::Time begun = at.rig.loop.now();
-    at.rig.run_for(50ms);
-    const auto waited = std::chrono::duration_cast<std::chrono::milliseconds>(at.rig.loop.now() - begun);
-    const std::string request = at.next_request();
-    const std::size_t told = request.find("X-Timeout-Ms: ");
-    REQUIRE(told != std::string::npos);
-    CHECK(std::stol(request.substr(told + 14)) <= 3600000 - waited.count());
+// Guards against sending the remaining time as of the moment at which the connection was started.
+TEST_CASE("a worker is told the time that remains when its connection has come up") {
+    StalledConnection stalled;
+    const net::Time started_at = stalled.fixture.loop.now();
+    stalled.fixture.run_for(50ms);
+    const auto waited =
+        std::chrono::duration_cast<std::chrono::milliseconds>(stalled.fixture.loop.now() - started_at);
+    const std::string request = stalled.next_request();
+    const std::size_t header_at = request.find("X-Timeout-Ms: ");
+    REQUIRE(header_at != std::string::npos);
+    CHECK(std::stol(request.substr(header_at + 14)) <= 3600000 - waited.count());
 }
 
-// A repeat was begun whenever its connection came up, though its group forgets the job after the window.
-TEST_CASE("a repeat is not begun after its window, however late its connection comes up") {
+// The repeat group forgets the job after the window, so a repeat that starts whenever its connection comes up
+// may run the job twice.
+TEST_CASE("a repeat does not start after its window, however late its connection comes up") {
     config::Settings settings = patient_settings();
     settings.decisions.classes[1].repeat_window = 300ms;
     settings.decisions.classes[1].kind = willowrill::none;
-    SchedulerFixture rig(10, 10, settings);
-    const auto client =
-        rig.connect_client("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: keyed\r\n"
-                           "Idempotency-Key: k\r\n" +
-                           patient + "Content-Length: 2\r\n\r\nhi");
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
-    const SaturatedListener deaf;
-    std::string list = rig.list_text(43);
-    list.insert(list.rfind("]}"), R"(,{"id":"s2","addr":")" + deaf.address.text() +
+    SchedulerFixture fixture(10, 10, settings);
+    const auto client = fixture.connect_client(
+        "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: keyed\r\n"
+        "Idempotency-Key: k\r\n" +
+        long_timeout_header + "Content-Length: 2\r\n\r\nhi");
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
+    const SaturatedListener saturated_listener;
+    std::string list = fixture.list_text(43);
+    list.insert(list.rfind("]}"), R"(,{"id":"s2","addr":")" + saturated_listener.address.text() +
                                       R"(","zone":"a","kind":"m1","state":"up","started_ms":0})");
-    rig.host.handle_worker_list(*rig.list.read(list));
-    rig.worker.peers[0]->connection.close(); // it may have run
-    CHECK(rig.run_until([&] { return client->has_received("HTTP/1.1 502 "); }));
-    CHECK(rig.host.counters().sent == 2);
-    CHECK(rig.pool.size() == 0);
+    fixture.host.handle_worker_list(*fixture.list.read(list));
+    fixture.worker.peers[0]->connection.close(); // it may have run
+    CHECK(fixture.run_until([&] { return client->has_received("HTTP/1.1 502 "); }));
+    CHECK(fixture.host.counters().sent == 2);
+    CHECK(fixture.pool.size() == 0);
 }
 
-// With its buffer full of what it has sent beyond, nothing was heard of a client's end.
-TEST_CASE("a client that ends its sending is heard while a request of it waits and more lies unread") {
-    SchedulerFixture rig(10, 10, patient_settings());
-    const auto client =
-        rig.connect_client(SchedulerFixture::job_request("a", patient) + std::string(100000, 'x'));
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
+// Guards against missing the end of a client's stream when the input buffer is full of pipelined bytes.
+TEST_CASE("the end of a client's stream is noticed while its request waits and further input is unread") {
+    SchedulerFixture fixture(10, 10, patient_settings());
+    const auto client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header) +
+                                               std::string(100000, 'x'));
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
     client->connection.close_when_sent();
-    CHECK(rig.run_until([&] { return rig.host.counters().clients_left == 1; }));
+    CHECK(fixture.run_until([&] { return fixture.host.counters().clients_left == 1; }));
 }
 
-// The second answer to a job, a few milliseconds late, passed for the next one's, which had "never run".
-TEST_CASE("a job that must not run twice does not go where the last answer has only just come from") {
-    SchedulerFixture rig(10, 10, patient_settings());
-    const auto client = rig.connect_client(SchedulerFixture::job_request("a", patient));
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
-    rig.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
-    REQUIRE(rig.run_until([&] { return client->has_received("of a"); }));
-    client->connection.write(SchedulerFixture::job_request("b", patient));
-    REQUIRE(rig.worker_receives(1, "X-Request-ID: b"));
-    rig.worker.peers[0]->connection.write(net::http::write_response(503, {{"X-Not-Processed", "1"}}, ""));
-    CHECK(
-        rig.run_until([&] { return rig.pool.counters().closed_by_worker == 1; })); // it proves nothing of `b`
-    CHECK(ended(rig, willowrill::Outcome::full) == 0);
-    rig.worker.peers[1]->connection.write(SchedulerFixture::done_response("b", "of b"));
-    CHECK(rig.run_until([&] { return client->has_received("of b"); }));
-    CHECK(rig.host.counters().sent == 2);
+// A second answer to a job that comes a few milliseconds late can be mistaken for the answer to the next job
+// on the same connection, here as proof that this job never ran.
+TEST_CASE("a job that must not run twice does not reuse a connection that has only just carried an answer") {
+    SchedulerFixture fixture(10, 10, patient_settings());
+    const auto client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header));
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
+    fixture.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
+    REQUIRE(fixture.run_until([&] { return client->has_received("of a"); }));
+    client->connection.write(SchedulerFixture::job_request("b", long_timeout_header));
+    REQUIRE(fixture.worker_receives(1, "X-Request-ID: b"));
+    fixture.worker.peers[0]->connection.write(net::http::write_response(503, {{"X-Not-Processed", "1"}}, ""));
+    CHECK(fixture.run_until(
+        [&] { return fixture.pool.counters().closed_by_worker == 1; })); // it proves nothing about `b`
+    CHECK(outcome_count(fixture, willowrill::Outcome::full) == 0);
+    fixture.worker.peers[1]->connection.write(SchedulerFixture::done_response("b", "of b"));
+    CHECK(fixture.run_until([&] { return client->has_received("of b"); }));
+    CHECK(fixture.host.counters().sent == 2);
 }
 
-// Its time began to run when the one before it had been answered.
-TEST_CASE("a request that waited unread behind another has its time from when it came") {
-    SchedulerFixture rig(10, 10, patient_settings());
-    const auto client = rig.connect_client(SchedulerFixture::job_request("a", patient) +
-                                           SchedulerFixture::job_request("b", "X-Timeout-Ms: 20\r\n"));
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
-    rig.run_for(30ms);
-    rig.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
-    CHECK(rig.run_until([&] { return client->has_received("HTTP/1.1 503 "); }));
+// Guards against starting the time of a pipelined request only when the request before it has been answered.
+TEST_CASE("the time of a request that waits unread behind another counts from its arrival") {
+    SchedulerFixture fixture(10, 10, patient_settings());
+    const auto client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header) +
+                                               SchedulerFixture::job_request("b", "X-Timeout-Ms: 20\r\n"));
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
+    fixture.run_for(30ms);
+    fixture.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
+    CHECK(fixture.run_until([&] { return client->has_received("HTTP/1.1 503 "); }));
     CHECK(client->has_received("of a"));
-    CHECK(rig.host.counters().sent == 1);
+    CHECK(fixture.host.counters().sent == 1);
 }
 
-TEST_CASE("arrival times: bytes count as come when they did, and never later") {
+TEST_CASE("arrival times: bytes count as arrived no later than they did") {
     frontend::ArrivalTimes times;
     CHECK(times.first_unread(9s) == 9s);
     times.record_unread(10, 1s, false);
@@ -157,48 +163,51 @@
     CHECK(times.first_unread(9s) == 2s);
     times.record_consumed(20);
     CHECK(times.first_unread(9s) == 9s);
-    times.record_unread(5, 3s, true); // no room for more, which may be here already
+    times.record_unread(5, 3s, true); // the buffer is full, so more bytes may have arrived already
     times.record_consumed(5);
     times.record_unread(5, 8s, false);
     CHECK(times.first_unread(9s) == 3s);
-    for (std::size_t size = 6; size < 100; ++size) // a byte at a time: the table is bounded
+    for (std::size_t size = 6; size < 100; ++size) // one byte at a time; the size of the table is bounded
         times.record_unread(size, net::Time(1s) * size, false);
     times.record_consumed(98);
     CHECK(times.first_unread(200s) <= 98s);
 }
 
-// The end dropped what it had read of further requests, and their clients never had an answer.
-TEST_CASE("an end answers what it has read behind the last answer, and only then closes") {
-    SchedulerFixture rig(10, 10, patient_settings());
-    const auto client = rig.connect_client(SchedulerFixture::job_request("a", patient) +
-                                           SchedulerFixture::job_request("b", patient) +
-                                           SchedulerFixture::job_request("c", patient));
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
-    rig.front.begin_shutdown(rig.loop.now());
-    rig.front.finish_shutdown();
-    rig.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
-    REQUIRE(rig.run_until([&] { return client->closed; }));
+// Guards against dropping pipelined requests that have been read already at shutdown, which leaves them
+// without an answer.
+TEST_CASE("a shutdown answers the pipelined requests that have been read before it closes the connection") {
+    SchedulerFixture fixture(10, 10, patient_settings());
+    const auto client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header) +
+                                               SchedulerFixture::job_request("b", long_timeout_header) +
+                                               SchedulerFixture::job_request("c", long_timeout_header));
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
+    fixture.front.begin_shutdown(fixture.loop.now());
+    fixture.front.finish_shutdown();
+    fixture.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
+    REQUIRE(fixture.run_until([&] { return client->closed; }));
     CHECK(client->has_received("of a"));
-    std::size_t refused = 0;
+    std::size_t refusal_count = 0;
     for (std::size_t at = 0; (at = client->received.find("HTTP/1.1 503 ", at)) != std::string::npos; ++at)
-        ++refused;
-    CHECK(refused == 2);
+        ++refusal_count;
+    CHECK(refusal_count == 2);
     CHECK(client->received.find("Connection: close") > client->received.rfind("HTTP/1.1 503 "));
 }
 
-TEST_CASE("an end does not wait for a client whose next bytes are no request") {
-    SchedulerFixture rig(10, 10, patient_settings());
-    const auto client = rig.connect_client(SchedulerFixture::job_request("a", patient) + "\r\n");
-    REQUIRE(rig.worker_receives(0, "\r\n\r\nhi"));
-    rig.front.begin_shutdown(rig.loop.now());
-    rig.front.finish_shutdown();
-    rig.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
-    CHECK(rig.run_until([&] { return rig.front.empty(); }));
+TEST_CASE("a shutdown does not wait for a client whose next bytes are not a request") {
+    SchedulerFixture fixture(10, 10, patient_settings());
+    const auto client =
+        fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header) + "\r\n");
+    REQUIRE(fixture.worker_receives(0, "\r\n\r\nhi"));
+    fixture.front.begin_shutdown(fixture.loop.now());
+    fixture.front.finish_shutdown();
+    fixture.worker.peers[0]->connection.write(SchedulerFixture::done_response("a", "of a"));
+    CHECK(fixture.run_until([&] { return fixture.front.empty(); }));
     CHECK(client->has_received("of a"));
 }
 
-// After a long outage the next call came up to 7.5 s after the last, where 6 s count as told.
-TEST_CASE("asking for the list again after an outage: bounded for one, and not all at one moment") {
+// Guards against a back-off that grows too long: with up to 7.5 s between two requests after a long outage,
+// changes would be learned later than the 6 s after which they count as known.
+TEST_CASE("list requests after an outage: the back-off is bounded, and spread over the schedulers") {
     load_estimates::Subscription list;
     net::Time now = 1s;
     for (int failures = 0; failures < 20; ++failures) {
@@ -214,43 +223,47 @@
     CHECK(load_estimates::back_off_after(20, 1) == load_estimates::max_back_off / 2);
 }
 
-// Its first call came up to 1.25 s after its start, where the changes since its former life count from there
-// on.
-TEST_CASE("a new life with a remembered list asks for it early in the grace for drains") {
+// For changes during a scheduler's downtime, the grace for drains counts from its start. A first list request
+// up to 1.25 s after the start comes too late for that.
+TEST_CASE("a restarted scheduler with a remembered list requests it early within the grace for drains") {
     for (const auto grace : {50ms, 300ms, 1000ms}) {
         load_estimates::Subscription list;
-        const auto last = [] { return 1.0; };
-        list.on_update(false, true); // the list of its former life
-        CHECK_FALSE(list.should_request(1s, 10s, grace, last));
-        CHECK(list.should_request(1s + grace / 2 + 1ms, 10s, grace, last));
+        const auto latest = [] { return 1.0; };
+        list.on_update(false, true); // the list held before the restart
+        CHECK_FALSE(list.should_request(1s, 10s, grace, latest));
+        CHECK(list.should_request(1s + grace / 2 + 1ms, 10s, grace, latest));
     }
 }
 
-// With a short grace for drains it was asked every 0.1 s by each of its callers, which kept it overloaded.
-TEST_CASE("discovery that turns a call away beside a silent one is given a pause, and told of once") {
-    SchedulerFixture rig;
-    const Listener discovery(rig.loop); // for this watch alone
+// Guards against asking an overloaded discovery every 0.1 s from each scheduler, which keeps it overloaded;
+// this can happen with a short grace for drains.
+TEST_CASE(
+    "a discovery that rejects requests beside an unanswered one gets a pause and counts as silent once") {
+    SchedulerFixture fixture;
+    const Listener discovery(fixture.loop); // used by this watch only
     discovery_client::WatchTimes times = discovery_client::watch_times(10s, 200ms);
     times.hold = times.late = 4ms;
-    discovery_client::Watch watch(rig.loop, discovery.address, times, 1, rig.list, [](const auto&) {});
+    discovery_client::Watch watch(fixture.loop, discovery.address, times, 1, fixture.list,
+                                  [](const auto&) {});
     watch.watch(true);
-    for (std::size_t call = 1; call <= 2; ++call) { // call 0 is the silent one
-        REQUIRE(rig.run_until([&] {
-            return discovery.peers.size() > call && discovery.peers[call]->has_received("hold_ms=1 ");
+    for (std::size_t request_index = 1; request_index <= 2; ++request_index) { // request 0 stays unanswered
+        REQUIRE(fixture.run_until([&] {
+            return discovery.peers.size() > request_index &&
+                   discovery.peers[request_index]->has_received("hold_ms=1 ");
         }));
-        const net::Time refused = rig.loop.now();
-        discovery.peers[call]->connection.write(net::http::write_response(503, {}, ""));
-        REQUIRE(rig.run_until([&] { return discovery.peers.size() > call + 1; }));
-        CHECK(rig.loop.now() - refused >= load_estimates::initial_back_off / 2);
+        const net::Time refused_at = fixture.loop.now();
+        discovery.peers[request_index]->connection.write(net::http::write_response(503, {}, ""));
+        REQUIRE(fixture.run_until([&] { return discovery.peers.size() > request_index + 1; }));
+        CHECK(fixture.loop.now() - refused_at >= load_estimates::initial_back_off / 2);
     }
     CHECK(watch.silences() == 1);
 }
 
-TEST_CASE("what discovery has at its return is heard before it counts as told, for all settings") {
+TEST_CASE("changes known to a recovered discovery are received within the allowed time, for all settings") {
     const auto back_off = load_estimates::max_back_off;
-    for (const auto valid : {1s, 2s, 10s, 60s}) {
+    for (const auto list_valid : {1s, 2s, 10s, 60s}) {
         for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const discovery_client::WatchTimes times = discovery_client::watch_times(valid, grace);
+            const discovery_client::WatchTimes times = discovery_client::watch_times(list_valid, grace);
             const net::Duration allowed = times.allowed_after_failure(grace);
             const auto tick = std::min<net::Duration>(grace / 10, 10ms);
             CHECK(times.heard_after_failure(back_off, 0s, 2s, tick) <= allowed);
