--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -9,7 +9,8 @@
 namespace willowrill::testing {
 namespace {
 
-// Settings under which connections may take up to an hour to come up and attempts are not cancelled.
+// Settings under which connections may take up to an hour to be established, jobs may take as long, and
+// attempts are not cancelled.
 config::Settings patient_settings() {
     config::Settings result = test_settings();
     result.connect_timeout = result.decisions.connect_timeout = 1h;
--- a/tests/scheduler/dispatcher/scale_test.cpp
+++ b/tests/scheduler/dispatcher/scale_test.cpp
@@ -264,8 +264,8 @@
         max_takers = std::max(max_takers, taker_count);
     }
     CHECK(max_takers == 1);
-    for (const int one : fall_counts)
-        CHECK(one == doctest::Approx(point_count / 10.0).epsilon(0.01));
+    for (const int fall_count : fall_counts)
+        CHECK(fall_count == doctest::Approx(point_count / 10.0).epsilon(0.01));
     for (int i = 0; i < point_count; ++i) {
         load_estimates::SystematicSampler shares;
         int taker_count = 0;
@@ -324,8 +324,8 @@
             const double capacity = worker_slots * (0.4 + 0.6 * load_estimates::seconds(from - 5s) / 9);
             const double max_jobs = 2.5 * capacity / 0.25; // in jobs of average work
             const auto job_count =
-                std::ranges::count_if(simulation.workers[6].accepted_work, [&](const auto& one) {
-                    return one.first >= from && one.first < from + 1s;
+                std::ranges::count_if(simulation.workers[6].accepted_work, [&](const auto& sent_work) {
+                    return sent_work.first >= from && sent_work.first < from + 1s;
                 });
             CAPTURE(from.count());
             CHECK(static_cast<double>(job_count) <= max_jobs + 2 * std::sqrt(max_jobs) + 2);
--- a/tests/scheduler/support/rule_checker.h
+++ b/tests/scheduler/support/rule_checker.h
@@ -40,8 +40,9 @@
     return result;
 }
 
-// Is told each event that a dispatcher receives and each action that it takes, and records every broken rule.
-// Several dispatchers with the same settings share one checker; `self` is the number of the one that acts.
+// Follows every event that a dispatcher receives and every action that it takes, and records each broken
+// rule. Several dispatchers with the same settings share one checker; `self` is the number of the acting
+// dispatcher.
 class RuleChecker {
   public:
     // `tested_dispatchers`: how many of the settings' dispatchers take part in the test. `worker_slots`: the
--- a/tests/scheduler/support/scheduler_fixture.h
+++ b/tests/scheduler/support/scheduler_fixture.h
@@ -87,8 +87,8 @@
     frontend::Frontend front;
 };
 
-// A listening socket whose backlog is full and that accepts nothing, so that new connections to its address
-// do not come up.
+// A listening socket with a full backlog that accepts nothing, so that new connections to its address are not
+// established.
 struct SaturatedListener {
     SaturatedListener()
         : listener(net::listen_on(*net::Endpoint::parse("127.0.0.1:0"))),
