--- a/tests/scheduler/support/dispatcher_bench.h
+++ b/tests/scheduler/support/dispatcher_bench.h
@@ -60,7 +60,7 @@
 
 // The arrival of a job whose client waits for 5 s.
 inline JobArrived job(JobId id, Index class_index = 0, double slots = 1) {
-    return {.job = id, .job_class = class_index, .left = 5s, .slots = slots};
+    return {.job = id, .job_class = class_index, .time_left = 5s, .slots = slots};
 }
 
 // Owns a dispatcher, passes events to it and records every `Send` that it returns.
--- a/tests/scheduler/support/scheduler_fixture.h
+++ b/tests/scheduler/support/scheduler_fixture.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "scheduler/discovery_client/watch.h"
-#include "scheduler/frontend/front.h"
+#include "scheduler/frontend/frontend.h"
 #include "scheduler/upstream/pool.h"
 #include "support/sockets.h"
 
