--- a/src/lab/spread/world.cpp
+++ b/src/lab/spread/world.cpp
@@ -1,6 +1,6 @@
 #include "lab/spread/world.h"
 
-#include "scheduler/discovery_client/watch_times.h"
+#include "scheduler/discovery_client/watch_timeouts.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,8 @@
 using namespace std::chrono_literals;
 
 constexpr Time connect_timeout = 250ms, answer_slack = 20ms;
-const discovery_client::WatchTimes watch = discovery_client::watch_times(10s, 1s); // as the program has them
+const discovery_client::WatchTimeouts watch =
+    discovery_client::compute_watch_timeouts(10s, 1s); // as the program has them
 constexpr std::size_t most_open = 20000, max_bytes = 1U << 30U;
 
 } // namespace
@@ -114,7 +115,8 @@
         if (fault.what == restart) one.ending = true;
         if (fault.what == stop) one.stopped_until = fault.to;
         if (fault.what == late_list) one.late = from_seconds(fault.size);
-        if (fault.what == hush) one.silent_until = now_ + watch.heard_by(1, 2 * experiment_.delay);
+        if (fault.what == hush)
+            one.silent_until = now_ + watch.max_time_to_response(1, 2 * experiment_.delay);
     }
     faults_.begin(fault);
     for (std::size_t id = 0; id < experiment_.workers; ++id) {
--- a/src/scheduler/config/settings.cpp
+++ b/src/scheduler/config/settings.cpp
@@ -199,7 +199,7 @@
             bad("classes", "an array of different names, and has '" + *name + "' twice");
     }
 
-    willowrill::Settings& to = out.decisions;
+    willowrill::Settings& to = out.dispatcher;
     to.self = static_cast<Index>(whole(json, "slot_no", 0, most_count));
     to.dispatchers = static_cast<Index>(std::max<std::size_t>(1, whole(json, "balancers", 1, most_count)));
     if (to.self >= to.dispatchers) bad("slot_no", "less than 'balancers', which count from 0");
@@ -231,9 +231,9 @@
     const object limits = section(json, "limits");
     to.probes = flag(limits, "probes");
     if (to.probes && !to.reports_with_probes)
-        out.remarks.emplace_back("probes are allowed but carry no load report: none is sent");
+        out.warnings.emplace_back("probes are allowed but carry no load report: none is sent");
     if (!to.probes && via == "pull")
-        out.remarks.emplace_back(
+        out.warnings.emplace_back(
             "load reports come by probe alone, and probes are not allowed: load is learnt from own "
             "sends, starts and answers");
     to.may_cancel = flag(limits, "cancel");
@@ -248,7 +248,7 @@
     to.probe_price = number(section(json, "prices"), "probe");
     out.connection_idle = to.connection_idle = duration(limits, "conn_idle_ns");
     out.connect_timeout = to.connect_timeout = duration(limits, "connect_timeout_ns");
-    out.max_open = whole(limits, "max_open");
+    out.max_open_requests = whole(limits, "max_open");
 
     const object safety = section(json, "safety");
     to.answer_slack = duration(safety, "answer_slack_ns");
@@ -260,21 +260,21 @@
     to.overload_time = duration(safety, "fall_ns");
 }
 
-std::vector<ReportName> read_report_fields(const object& reporting) {
-    const std::array<ReportName, 8> known{{{"load_share", "util", &Report::utilisation},
-                                           {"depth", "queue", &Report::queued},
-                                           {"concurrent", "inflight", &Report::in_flight},
-                                           {"x0", "x0", &Report::free_slots},
-                                           {"x1", "x1", &Report::free_memory},
-                                           {"mean_ms", "latency_ms", &Report::service_ms},
-                                           {"tps", "qps", &Report::served_per_s},
-                                           {"err_ps", "eps", &Report::errors_per_s}}};
-    std::vector<ReportName> out;
+std::vector<ReportFieldNames> read_report_fields(const object& reporting) {
+    const std::array<ReportFieldNames, 8> known{{{"load_share", "util", &Report::utilisation},
+                                                 {"depth", "queue", &Report::queued},
+                                                 {"concurrent", "inflight", &Report::in_flight},
+                                                 {"x0", "x0", &Report::free_slots},
+                                                 {"x1", "x1", &Report::free_memory},
+                                                 {"mean_ms", "latency_ms", &Report::service_ms},
+                                                 {"tps", "qps", &Report::served_per_s},
+                                                 {"err_ps", "eps", &Report::errors_per_s}}};
+    std::vector<ReportFieldNames> out;
     for (const element item : list(reporting, "fields")) {
         std::string_view name;
         if (item.get(name) != simdjson::SUCCESS) bad("fields", "an array of names");
-        for (const ReportName& field : known) {
-            if (field.setting == name) out.push_back(field);
+        for (const ReportFieldNames& field : known) {
+            if (field.setting_name == name) out.push_back(field);
         }
     }
     return out;
@@ -325,44 +325,46 @@
 
     Settings out;
     const char* name = environment("PROXY_NAME");
-    out.file_name = text(json, "name", "willowrill");
-    out.name = name != nullptr ? name : out.file_name;
-    std::tie(out.listen, out.file_listen) = endpoints(json, "listen", environment, "PROXY_LISTEN");
-    std::tie(out.discovery, out.file_discovery) =
+    out.name_in_file = text(json, "name", "willowrill");
+    out.name = name != nullptr ? name : out.name_in_file;
+    std::tie(out.listen, out.listen_in_file) = endpoints(json, "listen", environment, "PROXY_LISTEN");
+    std::tie(out.discovery, out.discovery_in_file) =
         endpoints(json, "discovery", environment, "PROXY_DISCOVERY");
-    out.file_mgmt = text(json, "mgmt");
-    if (environment("PROXY_MGMT") != nullptr || !out.file_mgmt.empty())
+    out.mgmt_in_file = text(json, "mgmt");
+    if (environment("PROXY_MGMT") != nullptr || !out.mgmt_in_file.empty())
         out.mgmt = endpoints(json, "mgmt", environment, "PROXY_MGMT").first;
     const object limits = section(json, "limits");
     out.memory_mb = whole(limits, "memory_mb", 192, most_count);
     if (out.memory_mb == 0) bad("memory_mb", "more than 0");
-    out.sockets = whole(limits, "sockets", 1024, most_count);
-    if (out.sockets < 64) bad("sockets", "64 or more");
+    out.max_sockets = whole(limits, "sockets", 1024, most_count);
+    if (out.max_sockets < 64) bad("sockets", "64 or more");
     if (!find(json, "settings")) throw ConfigError("'settings' is missing");
     read_decisions(section(json, "settings"), out);
-    out.file_settings = simdjson::minify(section(json, "settings"));
+    out.settings_json_in_file = simdjson::minify(section(json, "settings"));
     const std::string seed = text(json, "seed", "0");
     const auto seed_value = net::http::parse_unsigned(seed, 16);
     if (!seed_value) bad("seed", "a hexadecimal number of 64 bits at most");
-    out.decisions.seed = *seed_value;
+    out.dispatcher.seed = *seed_value;
     out.report_fields = read_report_fields(section(section(json, "settings"), "reporting"));
-    if (const auto known = find(json, "known")) out.known = simdjson::minify(*known);
+    if (const auto known = find(json, "known")) out.remembered_list_json = simdjson::minify(*known);
     if (out.connection_idle <= Duration(0)) bad("conn_idle_ns", "more than 0");
     if (out.connect_timeout <= Duration(0)) bad("connect_timeout_ns", "more than 0");
-    if (out.max_open == 0) bad("max_open", "more than 0");
+    if (out.max_open_requests == 0) bad("max_open", "more than 0");
     return out;
 }
 
-std::size_t connections_per_side(const Settings& settings, std::size_t descriptors) {
+std::size_t max_connections_per_side(const Settings& settings, std::size_t descriptors) {
     // What a connection of either side holds when it has read a body that is not yet whole. Three fifths of
     // the memory are for these, a quarter for messages that are open, and the rest for all else.
     constexpr std::size_t both = 2 * (net::http::max_body_bytes + net::http::input_buffer_bytes);
-    const std::size_t sockets = std::max(std::min(settings.sockets, descriptors), 2 * spare_descriptors);
+    const std::size_t sockets =
+        std::max(std::min(settings.max_sockets, descriptors), 2 * reserved_descriptors);
     const std::size_t fitting = settings.memory_mb * (1U << 20U) / 5 * 3 / both;
-    return std::clamp<std::size_t>((sockets - spare_descriptors) / 2, 1, std::max<std::size_t>(1, fitting));
+    return std::clamp<std::size_t>((sockets - reserved_descriptors) / 2, 1,
+                                   std::max<std::size_t>(1, fitting));
 }
 
-std::size_t message_memory(const Settings& settings) { return settings.memory_mb * (1U << 20U) / 4; }
+std::size_t max_message_bytes(const Settings& settings) { return settings.memory_mb * (1U << 20U) / 4; }
 
 Settings read(const Environment& environment) {
     const char* path = environment("PROXY_CONFIG");
--- a/src/scheduler/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -2,7 +2,7 @@
 // fleet.
 #include "scheduler/ctl/call.h"
 #include "scheduler/log/log.h"
-#include "scheduler/operator_config/site.h"
+#include "scheduler/operator_config/operator_config.h"
 
 #include <CLI/CLI.hpp>
 #include <simdjson.h>
@@ -37,7 +37,7 @@
     std::vector<operator_config::Problem> problems;
     try {
         operator_config::read(options.file);
-    } catch (const operator_config::SiteError& error) {
+    } catch (const operator_config::OperatorConfigError& error) {
         problems = error.problems();
     }
     if (options.json) {
--- a/src/scheduler/discovery_client/watch.cpp
+++ b/src/scheduler/discovery_client/discovery_watcher.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/discovery_client/watch.h"
+#include "scheduler/discovery_client/discovery_watcher.h"
 
 #include "scheduler/load_estimates/back_off.h"
 
@@ -12,9 +12,9 @@
 using namespace std::chrono_literals;
 
 // One call on a connection of its own. After its answer it stays for the next one.
-class Watch::Call final : public net::Connection::Owner {
+class DiscoveryWatcher::Call final : public net::Connection::Owner {
   public:
-    explicit Call(Watch& watch)
+    explicit Call(DiscoveryWatcher& watch)
         : watch_(watch),
           overdue_(watch.loop_.timer_wheel(), [this] { watch_.failed(*this, "no answer in time"); }) {
         net::Fd fd = net::connect_to(watch.discovery_);
@@ -29,11 +29,11 @@
         if (!connection_) return overdue_.arm(now);
         parser_.restart();
         waits_ = true;
-        answer_by_ = now + hold + watch_.times_.lost;
+        answer_by_ = now + hold + watch_.times_.response_timeout;
         connection_->write(net::http::write_request("GET", target, {{"Host", watch_.discovery_.text()}}, ""));
         // Out of reach, a connection would be tried for longer and longer by the system: try anew instead.
         const bool opening = connection_->state() == net::Connection::State::opening;
-        overdue_.arm(opening ? now + watch_.times_.open : answer_by_);
+        overdue_.arm(opening ? now + watch_.times_.connect_timeout : answer_by_);
     }
     bool can_go_on() { return connection_ && !connection_->has_hung_up() && parser_.head().keeps_alive(); }
     net::http::Parser& answer() { return parser_; }
@@ -65,7 +65,7 @@
         watch_.answered(*this);
     }
 
-    Watch& watch_;
+    DiscoveryWatcher& watch_;
     std::shared_ptr<net::Connection> connection_;
     net::http::Parser parser_{net::http::Parser::Kind::response};
     net::Timer overdue_;
@@ -73,20 +73,20 @@
     bool waits_ = false;
 };
 
-Watch::Watch(net::Loop& loop, net::Endpoint discovery, WatchTimes times, std::uint64_t seed, List& list,
-             News news)
+DiscoveryWatcher::DiscoveryWatcher(net::Loop& loop, net::Endpoint discovery, WatchTimeouts times,
+                                   std::uint64_t seed, WorkerRegistry& list, News news)
     : loop_(loop), discovery_(discovery), times_(times), random_(seed), list_(list), news_(std::move(news)),
       silence_(loop.timer_wheel(), [this] { silent(); }) {}
 
-Watch::~Watch() { hang_up(); }
+DiscoveryWatcher::~DiscoveryWatcher() { hang_up(); }
 
-void Watch::watch(bool active) {
+void DiscoveryWatcher::watch(bool active) {
     watching_ = active;
     if (active && calls_.empty()) ask(add(), heard_ ? next_hold() : 0ns);
     if (!active) hang_up();
 }
 
-void Watch::move(const net::Endpoint& discovery) {
+void DiscoveryWatcher::set_endpoint(const net::Endpoint& discovery) {
     discovery_ = discovery;
     hang_up();
     moved_ = watching_ = true;
@@ -95,16 +95,18 @@
 
 // Between three quarters of the longest and all of it: news reach all schedulers at one moment, so that their
 // calls begin together and would all end together ever after.
-net::Duration Watch::next_hold() {
+net::Duration DiscoveryWatcher::next_hold() {
     const double part = 0.75 + 0.25 * chance();
     return std::chrono::milliseconds(static_cast<std::int64_t>(
         part *
-        static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(times_.hold).count())));
+        static_cast<double>(std::chrono::duration_cast<std::chrono::milliseconds>(times_.max_hold).count())));
 }
 
-Watch::Call& Watch::add() { return *calls_.emplace_back(std::make_shared<Call>(*this)); }
+DiscoveryWatcher::Call& DiscoveryWatcher::add() {
+    return *calls_.emplace_back(std::make_shared<Call>(*this));
+}
 
-void Watch::ask(Call& call, net::Duration hold) {
+void DiscoveryWatcher::ask(Call& call, net::Duration hold) {
     std::string target = "/v1/endpoints";
     const bool whole = moved_ || (list_.empty() && list_.version() == 0);
     if (whole) {
@@ -115,15 +117,15 @@
         target += "?from=" + std::to_string(list_.version()) + "&hold_ms=" + std::to_string(waits.count());
     }
     call.ask(target, hold);
-    silence_.arm(loop_.now() + (whole               ? times_.late_whole
-                                : calls_.size() > 1 ? times_.again
-                                                    : hold + times_.late));
+    silence_.arm(loop_.now() + (whole               ? times_.full_list_stall_timeout
+                                : calls_.size() > 1 ? times_.retry_interval
+                                                    : hold + times_.stall_timeout));
 }
 
 // No word from any call: the watch is broken, whether or not its connection stands. What is asked now is
 // answered at once.
-void Watch::silent() {
-    if (calls_.size() >= most_calls) return silence_.arm(loop_.now() + times_.again);
+void DiscoveryWatcher::silent() {
+    if (calls_.size() >= most_calls) return silence_.arm(loop_.now() + times_.retry_interval);
     if (!std::exchange(silent_, true)) {
         ++silences_;
         spdlog::warn("inventory: discovery is silent, and is asked beside the call that is out");
@@ -131,22 +133,22 @@
     ask(add(), 0ns);
 }
 
-void Watch::drop(Call& call) {
+void DiscoveryWatcher::drop(Call& call) {
     call.close();
     const auto at = std::ranges::find(calls_, &call, &std::shared_ptr<Call>::get);
     loop_.defer_destruction(std::move(*at));
     calls_.erase(at);
 }
 
-void Watch::hang_up() {
+void DiscoveryWatcher::hang_up() {
     silence_.disarm();
     while (!calls_.empty())
         drop(*calls_.back());
 }
 
-void Watch::answered(Call& call) {
+void DiscoveryWatcher::answered(Call& call) {
     if (call.answer().head().status != 200) return failed(call, "an answer other than 200");
-    auto news = list_.read(call.answer().body());
+    auto news = list_.apply_update(call.answer().body());
     if (!news) return failed(call, "an answer that is no list");
     heard_ = true;
     moved_ = silent_ = false;
@@ -162,7 +164,7 @@
 
 // While another call is out, that one may still be answered. The module decides when to ask again, and is
 // told just once for all of them.
-void Watch::failed(Call& call, const char* why) {
+void DiscoveryWatcher::failed(Call& call, const char* why) {
     drop(call);
     // Asked at once, an overloaded discovery would stay so for as long as its callers are many.
     if (!calls_.empty())
--- a/src/scheduler/discovery_client/watch.h
+++ b/src/scheduler/discovery_client/discovery_watcher.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "scheduler/core/host.h"
-#include "scheduler/discovery_client/list.h"
-#include "scheduler/discovery_client/watch_times.h"
+#include "scheduler/discovery_client/watch_timeouts.h"
+#include "scheduler/discovery_client/worker_registry.h"
 #include "scheduler/net/connection.h"
 #include "scheduler/net/http.h"
 
@@ -16,21 +16,21 @@
 
 namespace willowrill::discovery_client {
 
-class Watch final : public core::WorkerListSource {
+class DiscoveryWatcher final : public core::WorkerListSource {
   public:
     using News = std::function<void(willowrill::EndpointListUpdate)>;
 
     // `seed`: for the spread of holds, so that many schedulers don't all ask at one moment.
-    Watch(net::Loop& loop, net::Endpoint discovery, WatchTimes times, std::uint64_t seed, List& list,
-          News news);
-    ~Watch() override;
+    DiscoveryWatcher(net::Loop& loop, net::Endpoint discovery, WatchTimeouts times, std::uint64_t seed,
+                     WorkerRegistry& list, News news);
+    ~DiscoveryWatcher() override;
 
     void watch(bool active) override;
     // Discovery is at another address from now on. It is asked there at once, for the whole list, as versions
     // may not go on; a call that this cuts off has not failed.
-    void move(const net::Endpoint& discovery);
+    void set_endpoint(const net::Endpoint& discovery);
     const net::Endpoint& discovery() const { return discovery_; }
-    std::uint64_t silences() const { return silences_; }
+    std::uint64_t stall_count() const { return silences_; }
 
   private:
     class Call;
@@ -48,9 +48,9 @@
 
     net::Loop& loop_;
     net::Endpoint discovery_;
-    WatchTimes times_;
+    WatchTimeouts times_;
     pcg32 random_;
-    List& list_;
+    WorkerRegistry& list_;
     News news_;
     std::vector<std::shared_ptr<Call>> calls_; // the oldest first, `most_calls` at the most
     net::Timer silence_;                       // the last call has had its time, or another may go out
--- a/src/scheduler/discovery_client/list.cpp
+++ b/src/scheduler/discovery_client/worker_registry.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/discovery_client/list.h"
+#include "scheduler/discovery_client/worker_registry.h"
 
 #include <simdjson.h>
 
@@ -51,12 +51,12 @@
 
 } // namespace
 
-std::size_t List::listed() const {
+std::size_t WorkerRegistry::listed_count() const {
     return workers_.size() -
            static_cast<std::size_t>(std::ranges::count(workers_, Condition::gone, &Worker::condition));
 }
 
-std::optional<willowrill::EndpointListUpdate> List::read(std::string_view json) {
+std::optional<willowrill::EndpointListUpdate> WorkerRegistry::apply_update(std::string_view json) {
     std::vector<Entry> entries;
     config::Names names = names_; // new kinds and zones are kept once the whole list is good
     bool full = false;
--- a/src/scheduler/discovery_client/list.h
+++ b/src/scheduler/discovery_client/worker_registry.h
@@ -15,16 +15,16 @@
 
 namespace willowrill::discovery_client {
 
-class List {
+class WorkerRegistry {
   public:
-    explicit List(config::Names names) : names_(std::move(names)) {}
+    explicit WorkerRegistry(config::Names names) : names_(std::move(names)) {}
 
     // Takes in an answer of discovery. Nonsense changes nothing and gives nothing.
-    std::optional<willowrill::EndpointListUpdate> read(std::string_view json);
+    std::optional<willowrill::EndpointListUpdate> apply_update(std::string_view json);
 
     std::uint64_t version() const { return version_; }
     bool empty() const { return workers_.empty(); }
-    std::size_t listed() const; // workers that are in the list now
+    std::size_t listed_count() const; // workers that are in the list now
     const net::Endpoint& address(willowrill::WorkerId worker) const { return workers_[worker].address; }
     const std::string& id(willowrill::WorkerId worker) const { return workers_[worker].id; }
     const config::Names& names() const { return names_; }
--- a/src/scheduler/fleet/fleet.cpp
+++ b/src/scheduler/fleet/fleet.cpp
@@ -51,7 +51,7 @@
 
 } // namespace
 
-Fleet::Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings,
+Fleet::Fleet(net::Loop& loop, const operator_config::OperatorConfig& site, const config::Settings& settings,
              bool wait_for_address)
     : loop_(loop), names_(settings.names), counts_enabled_(site.counts.has_value()),
       mesh_(loop, site, site.instance.empty() ? settings.name : site.instance, wait_for_address),
--- a/src/scheduler/fleet/fleet.h
+++ b/src/scheduler/fleet/fleet.h
@@ -6,7 +6,7 @@
 #include "scheduler/config/settings.h"
 #include "scheduler/core/host.h"
 #include "scheduler/gossip/mesh.h"
-#include "scheduler/operator_config/site.h"
+#include "scheduler/operator_config/operator_config.h"
 
 #include <functional>
 #include <string>
@@ -21,7 +21,7 @@
   public:
     // `site.mesh` must be set. `wait_for_address`: the predecessor of a hot restart still uses the mesh
     // address (see `gossip::Mesh`). Throws std::system_error if the address cannot be bound.
-    Fleet(net::Loop& loop, const operator_config::Site& site, const config::Settings& settings,
+    Fleet(net::Loop& loop, const operator_config::OperatorConfig& site, const config::Settings& settings,
           bool wait_for_address);
 
     void on_message_ended(Index job_class, Index tenant, FinalStatus ending) override;
@@ -30,7 +30,7 @@
     std::string members_json() const;
     std::string prometheus_text() const; // in the Prometheus text format
 
-    void apply_config(const operator_config::Site& site) { mesh_.update_settings(site); }
+    void apply_config(const operator_config::OperatorConfig& site) { mesh_.update_settings(site); }
     void leave(std::function<void()> on_left) { mesh_.leave(std::move(on_left)); }
     gossip::Mesh& mesh() { return mesh_; }
 
--- a/src/scheduler/frontend/request.cpp
+++ b/src/scheduler/frontend/request.cpp
@@ -82,7 +82,7 @@
 
     message.job_class = config::Names::find(settings.names.classes, header("x-priority-class"));
     if (message.job_class == willowrill::none) return reject("X-Priority-Class names no known class");
-    const willowrill::JobClass& job_class = settings.decisions.classes[message.job_class];
+    const willowrill::JobClass& job_class = settings.dispatcher.classes[message.job_class];
     if (job_class.effect == willowrill::Effect::keyed && message.idempotency_key.empty())
         return reject("a class that is repeated by key needs an Idempotency-Key");
 
--- a/src/scheduler/gossip/mesh.cpp
+++ b/src/scheduler/gossip/mesh.cpp
@@ -24,23 +24,23 @@
     return {ntohl(endpoint.address.sin_addr.s_addr), ntohs(endpoint.address.sin_port)};
 }
 
-std::vector<Key> keys_of(const operator_config::Mesh& mesh) {
+std::vector<Key> keys_of(const operator_config::MeshSettings& mesh) {
     std::vector<Key> keys;
     keys.reserve(mesh.keys.size());
-    for (const operator_config::Key& key : mesh.keys)
+    for (const operator_config::SealingKey& key : mesh.keys)
         keys.push_back({static_cast<std::uint32_t>(key.id), key.secret});
     return keys;
 }
 
-NodeSettings settings_of(const operator_config::Site& site) {
-    const operator_config::Mesh& mesh = *site.mesh;
+NodeSettings settings_of(const operator_config::OperatorConfig& site) {
+    const operator_config::MeshSettings& mesh = *site.mesh;
     NodeSettings settings;
     settings.max_frame_bytes = max_datagram_bytes - Sealer::overhead_bytes;
     settings.bytes_per_second = mesh.bytes_per_second;
     settings.members = {.probe_period = mesh.probe_period,
                         .probe_timeout = mesh.probe_timeout,
-                        .indirect_probe_count = mesh.indirect,
-                        .suspicion_multiplier = mesh.suspicion,
+                        .indirect_probe_count = mesh.indirect_probes,
+                        .suspicion_multiplier = mesh.suspicion_multiplier,
                         .forget_after = mesh.forget_after,
                         .max_members = mesh.max_members,
                         .seeds = {}};
@@ -48,7 +48,7 @@
         settings.members.seeds.push_back(address_of(seed));
     settings.exchange_interval = 1h;
     if (!site.counts) return settings;
-    const operator_config::Counts& counts = *site.counts;
+    const operator_config::CountsSettings& counts = *site.counts;
     settings.counts_enabled = true;
     settings.exchange_interval = counts.interval;
     settings.rate = counts.rate;
@@ -76,7 +76,8 @@
     return endpoint;
 }
 
-Mesh::Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait)
+Mesh::Mesh(net::Loop& loop, const operator_config::OperatorConfig& site, const std::string& instance,
+           bool wait)
     : loop_(loop), settings_(*site.mesh),
       snapshot_interval_(site.counts ? site.counts->snapshot_every : Time(0)), sealer_(keys_of(settings_)),
       replay_filter_(4 * settings_.max_members), tick_timer_(loop.timer_wheel(), [this] { on_timer(); }),
@@ -141,7 +142,7 @@
     if (socket_.valid()) loop_.unwatch(socket_.get());
 }
 
-void Mesh::update_settings(const operator_config::Site& site) {
+void Mesh::update_settings(const operator_config::OperatorConfig& site) {
     settings_ = *site.mesh;
     sealer_ = Sealer(keys_of(settings_));
     if (site.counts) snapshot_interval_ = site.counts->snapshot_every;
--- a/src/scheduler/gossip/mesh.h
+++ b/src/scheduler/gossip/mesh.h
@@ -7,7 +7,7 @@
 #include "scheduler/gossip/snapshots.h"
 #include "scheduler/net/loop.h"
 #include "scheduler/net/socket.h"
-#include "scheduler/operator_config/site.h"
+#include "scheduler/operator_config/operator_config.h"
 
 #include <array>
 #include <cstdint>
@@ -32,11 +32,12 @@
     // `instance` is this instance's name among the instances. Throws std::system_error if the address cannot
     // be bound. With `wait`, an address that is still in use by an earlier run of this instance is not an
     // error: the mesh retries until the address is free, and counts without exchanging messages until then.
-    Mesh(net::Loop& loop, const operator_config::Site& site, const std::string& instance, bool wait = false);
+    Mesh(net::Loop& loop, const operator_config::OperatorConfig& site, const std::string& instance,
+         bool wait = false);
     ~Mesh() override;
 
     // Applies reloaded keys, networks, times and the byte limit. Other settings require a restart.
-    void update_settings(const operator_config::Site& site);
+    void update_settings(const operator_config::OperatorConfig& site);
 
     // Leaves the fleet. Continues to answer requests for a moment, then calls `on_left`.
     void leave(std::function<void()> on_left);
@@ -61,7 +62,7 @@
     void save_snapshot();
 
     net::Loop& loop_;
-    operator_config::Mesh settings_;
+    operator_config::MeshSettings settings_;
     Time snapshot_interval_{0};
     net::Fd socket_;
     Sealer sealer_;
--- a/src/scheduler/load_estimates/back_off.h
+++ b/src/scheduler/load_estimates/back_off.h
@@ -8,8 +8,8 @@
 
 namespace willowrill::load_estimates {
 
-// Upper bound of the back-off, independent of the number of failures. `discovery_client::WatchTimes` has the
-// time budget that it is a part of.
+// Upper bound of the back-off, independent of the number of failures. `discovery_client::WatchTimeouts` has
+// the time budget that it is a part of.
 inline constexpr std::chrono::nanoseconds max_back_off = std::chrono::seconds(1);
 inline constexpr std::chrono::nanoseconds initial_back_off = std::chrono::milliseconds(500);
 
--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -2,15 +2,15 @@
 #include "scheduler/admin/server.h"
 #include "scheduler/config/settings.h"
 #include "scheduler/core/host.h"
-#include "scheduler/discovery_client/list.h"
-#include "scheduler/discovery_client/watch.h"
+#include "scheduler/discovery_client/discovery_watcher.h"
+#include "scheduler/discovery_client/worker_registry.h"
 #include "scheduler/fleet/fleet.h"
 #include "scheduler/frontend/frontend.h"
 #include "scheduler/hot_restart/succession.h"
 #include "scheduler/log/log.h"
 #include "scheduler/net/loop.h"
 #include "scheduler/net/signals.h"
-#include "scheduler/operator_config/site.h"
+#include "scheduler/operator_config/operator_config.h"
 #include "scheduler/upstream/pool.h"
 
 #include <sys/resource.h>
@@ -53,18 +53,20 @@
 
 class Program final : private admin::Service, private hot_restart::HotRestart::Delegate {
   public:
-    Program(config::Settings settings, operator_config::Site site, std::optional<std::string> handover_socket,
+    Program(config::Settings settings, operator_config::OperatorConfig site,
+            std::optional<std::string> handover_socket,
             std::optional<hot_restart::InheritedListener> inherited_listener)
         : settings_(std::move(settings)), latest_settings_(settings_), site_(std::move(site)),
           list_(settings_.names), pool_(loop_, list_, settings_.report_fields,
                                         {.connections = max_connections_per_side(settings_),
                                          .idle = settings_.connection_idle,
                                          .connect_timeout = settings_.connect_timeout}),
-          watch_times_(
-              discovery_client::watch_times(settings_.decisions.list_valid, settings_.decisions.drain_grace)),
-          watch_(loop_, settings_.discovery, watch_times_, settings_.decisions.seed, list_,
+          watch_times_(discovery_client::compute_watch_timeouts(settings_.dispatcher.list_valid,
+                                                                settings_.dispatcher.drain_grace)),
+          watch_(loop_, settings_.discovery, watch_times_, settings_.dispatcher.seed, list_,
                  [this](auto update) { on_list_update(std::move(update)); }),
-          host_(settings_.decisions, settings_.max_open, config::message_memory(settings_), pool_, watch_),
+          host_(settings_.dispatcher, settings_.max_open_requests, config::max_message_bytes(settings_),
+                pool_, watch_),
           front_(
               loop_, settings_, host_, max_connections_per_side(settings_),
               [this] { return has_confirmed_workers(); },
@@ -83,8 +85,8 @@
         if (site_.mesh) fleet_.emplace(loop_, site_, settings_, hot_restart_.has_peer());
         if (fleet_) host_.set_message_observer(*fleet_);
         if (settings_.mgmt) admin_.emplace(loop_, *settings_.mgmt, static_cast<admin::Service&>(*this));
-        if (!settings_.known.empty()) {
-            if (auto list = list_.read(settings_.known)) {
+        if (!settings_.remembered_list_json.empty()) {
+            if (auto list = list_.apply_update(settings_.remembered_list_json)) {
                 list->kind = willowrill::EndpointListUpdate::Kind::remembered;
                 log_entries(*list);
                 remembered_list_ = std::move(list);
@@ -92,7 +94,7 @@
                 spdlog::warn("inventory: the remembered list is malformed; starting without it");
             }
         }
-        if (!settings_.decisions.list_on_request) watch_.watch(true); // a pushed list must be requested, too
+        if (!settings_.dispatcher.list_on_request) watch_.watch(true); // a pushed list must be requested, too
     }
 
     void run() {
@@ -101,7 +103,7 @@
             log::event(spdlog::level::info, "mgmt.open", {{"address", admin_->address().text()}},
                        "operators' calls at " + admin_->address().text());
         }
-        for (const std::string& remark : settings_.remarks)
+        for (const std::string& remark : settings_.warnings)
             spdlog::warn("settings: {}", remark);
         spdlog::info("{} serves on {}, discovery at {}", settings_.name, front_.address().text(),
                      settings_.discovery.text());
@@ -121,7 +123,7 @@
     static std::size_t max_connections_per_side(const config::Settings& settings) {
         rlimit allowed{};
         ::getrlimit(RLIMIT_NOFILE, &allowed);
-        return config::connections_per_side(settings, allowed.rlim_cur);
+        return config::max_connections_per_side(settings, allowed.rlim_cur);
     }
 
     void start_serving() {
@@ -148,7 +150,7 @@
                                       ? std::min(max_connections, front_.size() + extra_attempts)
                                       : max_connections);
         front_.set_max_connections(max_connections);
-        host_.set_max_bytes(config::message_memory(own_limits));
+        host_.set_max_bytes(config::max_message_bytes(own_limits));
     }
 
     const std::unordered_set<std::string>& message_ids() const override { return host_.ids(); }
@@ -157,7 +159,7 @@
         const std::size_t clients = hot_restart_.successor_serves()
                                         ? front_.size()
                                         : std::max(front_.size(), front_.max_connections());
-        return config::spare_descriptors + clients + std::max(pool_.size(), pool_.max_connections());
+        return config::reserved_descriptors + clients + std::max(pool_.size(), pool_.max_connections());
     }
     void on_peer_changed() override { share_limits(); }
     void on_successor_changed(bool serves) override {
@@ -177,8 +179,8 @@
         const bool update_failed = update.kind == willowrill::EndpointListUpdate::Kind::broken;
         if (!update_failed) fresh_list_timer_.disarm();
         use_remembered_list();
-        if (update_failed && !settings_.decisions.list_on_request)
-            rewatch_timer_.arm(loop_.now() + watch_times_.reopen);
+        if (update_failed && !settings_.dispatcher.list_on_request)
+            rewatch_timer_.arm(loop_.now() + watch_times_.reopen_delay);
         if (!update.entries.empty())
             spdlog::info("inventory: version {} with {} entries", list_.version(), update.entries.size());
         log_entries(update);
@@ -230,21 +232,21 @@
         ++reloads_;
         try {
             // Everything that can reject a file precedes the first change.
-            std::optional<operator_config::Site> new_site;
+            std::optional<operator_config::OperatorConfig> new_site;
             if (!site_.file.empty()) new_site = operator_config::read(site_.file);
             config::Settings read_settings = config::read([](const char* name) { return std::getenv(name); });
             if (new_site && !can_apply_without_restart(*new_site)) return;
             const config::Settings old_settings = std::exchange(latest_settings_, std::move(read_settings));
             const config::Settings& new_settings = latest_settings_;
             share_limits();
-            if (new_settings.file_discovery != old_settings.file_discovery)
-                watch_.move(new_settings.file_discovery);
+            if (new_settings.discovery_in_file != old_settings.discovery_in_file)
+                watch_.set_endpoint(new_settings.discovery_in_file);
             spdlog::info("configuration read again: discovery at {}, {} connections a side",
                          watch_.discovery().text(), front_.max_connections());
-            if (new_settings.file_settings != old_settings.file_settings ||
-                new_settings.file_listen != old_settings.file_listen ||
-                new_settings.file_name != old_settings.file_name ||
-                new_settings.file_mgmt != old_settings.file_mgmt)
+            if (new_settings.settings_json_in_file != old_settings.settings_json_in_file ||
+                new_settings.listen_in_file != old_settings.listen_in_file ||
+                new_settings.name_in_file != old_settings.name_in_file ||
+                new_settings.mgmt_in_file != old_settings.mgmt_in_file)
                 spdlog::warn("name, listen, mgmt or settings have changed in the configuration: they take "
                              "effect after a restart");
             if (new_site) apply_site(std::move(*new_site));
@@ -253,9 +255,9 @@
         }
     }
 
-    bool can_apply_without_restart(const operator_config::Site& new_site) const {
+    bool can_apply_without_restart(const operator_config::OperatorConfig& new_site) const {
         std::string restart_keys;
-        for (const std::string& key : operator_config::needs_restart(site_, new_site))
+        for (const std::string& key : operator_config::keys_requiring_restart(site_, new_site))
             restart_keys += (restart_keys.empty() ? "" : ", ") + key;
         if (restart_keys.empty()) return true;
         log::event(spdlog::level::warn, "site.needs_restart", {{"keys", restart_keys}},
@@ -263,7 +265,7 @@
         return false;
     }
 
-    void apply_site(operator_config::Site new_site) {
+    void apply_site(operator_config::OperatorConfig new_site) {
         if (!new_site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(new_site.log.level));
         if (fleet_) fleet_->apply_config(new_site);
         site_ = std::move(new_site);
@@ -278,7 +280,7 @@
         spdlog::info("stopping: {} messages open", host_.open_messages());
         front_.drain();
         net::Duration max_deadline = 0ns;
-        for (const willowrill::JobClass& job_class : settings_.decisions.classes)
+        for (const willowrill::JobClass& job_class : settings_.dispatcher.classes)
             max_deadline =
                 std::max(max_deadline, std::min<net::Duration>(job_class.give_up, max_counted_deadline));
         drain_deadline_ = loop_.now() + max_deadline + deadline_margin;
@@ -303,7 +305,7 @@
         admin::Metrics metrics{.classes = {},
                                .attempts = pool_.counters().written,
                                .in_flight = host_.open_messages(),
-                               .workers_known = list_.listed(),
+                               .workers_known = list_.listed_count(),
                                .workers_excluded = host_.workers_excluded(loop_.now())};
         const std::vector<core::ClassTotals>& class_totals = host_.class_totals();
         for (std::size_t i = 0; i < class_totals.size(); ++i) {
@@ -346,18 +348,18 @@
                          admin.timed_out, admin.evicted);
         }
         spdlog::info("inventory: lists {} broken {} silences {} version {}; batches {}; reloads {}",
-                     host.list_updates, host.failed_list_updates, watch_.silences(), list_.version(),
+                     host.list_updates, host.failed_list_updates, watch_.stall_count(), list_.version(),
                      host.batches, reloads_);
     }
 
-    const config::Settings settings_;  // as of the start; the components refer to them
-    config::Settings latest_settings_; // as of the last reload
-    operator_config::Site site_;       // the operators' file as last applied
+    const config::Settings settings_;      // as of the start; the components refer to them
+    config::Settings latest_settings_;     // as of the last reload
+    operator_config::OperatorConfig site_; // the operators' file as last applied
     net::Loop loop_;
-    discovery_client::List list_;
+    discovery_client::WorkerRegistry list_;
     upstream::Pool pool_;
-    const discovery_client::WatchTimes watch_times_;
-    discovery_client::Watch watch_;
+    const discovery_client::WatchTimeouts watch_times_;
+    discovery_client::DiscoveryWatcher watch_;
     core::Host host_;
     frontend::Frontend front_;
     net::Timer batch_timer_, rewatch_timer_, leave_timer_, finish_timer_, fresh_list_timer_, confirm_timer_;
@@ -389,7 +391,7 @@
         willowrill::operator_config::read(file);
         std::cout << file << ": good\n";
         return 0;
-    } catch (const willowrill::operator_config::SiteError& error) {
+    } catch (const willowrill::operator_config::OperatorConfigError& error) {
         for (const willowrill::operator_config::Problem& problem : error.problems())
             std::cerr << problem.text() << '\n';
         return 1;
@@ -401,8 +403,9 @@
     std::optional<willowrill::net::ScopedSignalBlock> blocked_signals(std::in_place,
                                                                       {SIGTERM, SIGINT, SIGUSR1, SIGHUP});
     auto settings = willowrill::config::read([](const char* name) { return std::getenv(name); });
-    operator_config::Site site =
-        options.site_file.empty() ? operator_config::Site() : operator_config::read(options.site_file);
+    operator_config::OperatorConfig site = options.site_file.empty()
+                                               ? operator_config::OperatorConfig()
+                                               : operator_config::read(options.site_file);
     if (!site.log.level.empty()) spdlog::set_level(spdlog::level::from_str(site.log.level));
     spdlog::cfg::load_env_levels(); // SPDLOG_LEVEL overrides the file; at debug level every attempt is logged
     const bool json = options.log_format.empty() ? site.log.format == operator_config::LogFormat::json
--- a/src/scheduler/operator_config/addresses.cpp
+++ b/src/scheduler/operator_config/address_set.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/operator_config/addresses.h"
+#include "scheduler/operator_config/address_set.h"
 
 #include <boost/asio/ip/network_v4.hpp>
 
--- a/src/scheduler/operator_config/site.cpp
+++ b/src/scheduler/operator_config/operator_config.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/operator_config/site.h"
+#include "scheduler/operator_config/operator_config.h"
 
 #include "scheduler/net/file.h"
 #include "scheduler/operator_config/section.h"
@@ -59,11 +59,12 @@
     return std::nullopt;
 }
 
-void read_keys(const std::string& file, Section& section, Mesh& mesh, std::vector<Problem>& problems) {
+void read_keys(const std::string& file, Section& section, MeshSettings& mesh,
+               std::vector<Problem>& problems) {
     const std::vector<YAML::Node> nodes = section.list("keys");
     for (std::size_t i = 0; i < nodes.size(); ++i) {
         Section one(file, section.path_of("keys") + "[" + std::to_string(i) + "]", nodes[i], problems);
-        Key key;
+        SealingKey key;
         one.needed("id");
         one.needed("file");
         one.whole("id", key.id, 1, std::numeric_limits<std::uint32_t>::max());
@@ -71,7 +72,7 @@
         if (!key.file.empty()) {
             if (auto wrong = read_secret(key.file, key.secret)) one.problem("file", *wrong);
         }
-        if (std::ranges::find(mesh.keys, key.id, &Key::id) != mesh.keys.end())
+        if (std::ranges::find(mesh.keys, key.id, &SealingKey::id) != mesh.keys.end())
             one.problem("id", "found " + std::to_string(key.id) + " twice, allowed: an id of its own");
         mesh.keys.push_back(std::move(key));
     }
@@ -80,7 +81,7 @@
                         "found " + std::to_string(nodes.size()) + " keys, allowed: 1, or 2 during a change");
     std::uint64_t first = mesh.keys.empty() ? 0 : mesh.keys.front().id;
     section.whole("seal_with", first, 1, std::numeric_limits<std::uint32_t>::max());
-    const auto chosen = std::ranges::find(mesh.keys, first, &Key::id);
+    const auto chosen = std::ranges::find(mesh.keys, first, &SealingKey::id);
     if (chosen != mesh.keys.end()) {
         std::iter_swap(mesh.keys.begin(), chosen);
     } else if (!mesh.keys.empty()) {
@@ -88,8 +89,8 @@
     }
 }
 
-Mesh read_mesh(const std::string& file, Section section, std::vector<Problem>& problems) {
-    Mesh mesh;
+MeshSettings read_mesh(const std::string& file, Section section, std::vector<Problem>& problems) {
+    MeshSettings mesh;
     section.needed("listen");
     section.needed("networks");
     section.needed("keys");
@@ -129,10 +130,10 @@
                         "found " + to_text(mesh.probe_timeout) + ", allowed: at most half of probe_period (" +
                             to_text(mesh.probe_period) + "), so that others can be asked within it");
     }
-    mesh.indirect = 3;
-    section.whole("indirect", mesh.indirect, 0, 10);
-    mesh.suspicion = 4;
-    section.whole("suspicion", mesh.suspicion, 1, 30);
+    mesh.indirect_probes = 3;
+    section.whole("indirect", mesh.indirect_probes, 0, 10);
+    mesh.suspicion_multiplier = 4;
+    section.whole("suspicion", mesh.suspicion_multiplier, 1, 30);
     mesh.forget_after = 24h;
     section.span("forget_after", mesh.forget_after, 1s, 24h * 30);
     mesh.max_age = 30s;
@@ -143,15 +144,15 @@
     return mesh;
 }
 
-Counts read_counts(Section section) {
-    Counts counts{.interval = 250ms,
-                  .rate = 0,
-                  .burst = 0,
-                  .max_skew = 100ms,
-                  .fold_after = 1h,
-                  .snapshot_every = 5s,
-                  .max_tenants = 1000,
-                  .max_lives = 2000};
+CountsSettings read_counts(Section section) {
+    CountsSettings counts{.interval = 250ms,
+                          .rate = 0,
+                          .burst = 0,
+                          .max_skew = 100ms,
+                          .fold_after = 1h,
+                          .snapshot_every = 5s,
+                          .max_tenants = 1000,
+                          .max_lives = 2000};
     section.needed("rate");
     section.span("interval", counts.interval, 20ms, 60s);
     section.whole("rate", counts.rate, 1, 10'000'000);
@@ -165,19 +166,22 @@
     return counts;
 }
 
-bool same_place(const Mesh& a, const Mesh& b) { return a.listen == b.listen && a.advertise == b.advertise; }
+bool same_place(const MeshSettings& a, const MeshSettings& b) {
+    return a.listen == b.listen && a.advertise == b.advertise;
+}
 
 } // namespace
 
-SiteError::SiteError(std::vector<Problem> problems)
+OperatorConfigError::OperatorConfigError(std::vector<Problem> problems)
     : std::runtime_error(join(problems)), problems_(std::move(problems)) {}
 
-Site parse(const std::string& file, const std::string& text) {
+OperatorConfig parse(const std::string& file, const std::string& text) {
     std::vector<Problem> problems;
-    Site site;
+    OperatorConfig site;
     site.file = file;
     if (text.size() > max_bytes)
-        throw SiteError({{file, 0, "", "found " + std::to_string(text.size()) + " bytes, allowed: 1 MiB"}});
+        throw OperatorConfigError(
+            {{file, 0, "", "found " + std::to_string(text.size()) + " bytes, allowed: 1 MiB"}});
     try {
         const std::vector<YAML::Node> documents = YAML::LoadAll(text);
         if (documents.size() > 1) problems.push_back({file, 0, "", "found several documents, allowed: one"});
@@ -203,22 +207,23 @@
     }
     if (!problems.empty()) {
         std::ranges::stable_sort(problems, {}, &Problem::line);
-        throw SiteError(std::move(problems));
+        throw OperatorConfigError(std::move(problems));
     }
     return site;
 }
 
-Site read(const std::string& file) {
+OperatorConfig read(const std::string& file) {
     std::string why;
     const auto text = net::read_file(file, max_bytes, why);
-    if (!text) throw SiteError({{file, 0, "", why}});
+    if (!text) throw OperatorConfigError({{file, 0, "", why}});
     // Read while it is written, a file may still be YAML: its last line shows that something is missing.
     if (text->back() != '\n')
-        throw SiteError({{file, 0, "", "its last line has no end: is it cut short? End it with a newline"}});
+        throw OperatorConfigError(
+            {{file, 0, "", "its last line has no end: is it cut short? End it with a newline"}});
     return parse(file, *text);
 }
 
-std::vector<std::string> needs_restart(const Site& before, const Site& now) {
+std::vector<std::string> keys_requiring_restart(const OperatorConfig& before, const OperatorConfig& now) {
     std::vector<std::string> out;
     if (before.instance != now.instance) out.emplace_back("instance");
     if (before.state_dir != now.state_dir) out.emplace_back("state_dir");
--- a/src/scheduler/operator_config/error.cpp
+++ b/src/scheduler/operator_config/problem.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/operator_config/error.h"
+#include "scheduler/operator_config/problem.h"
 
 #include <algorithm>
 #include <numeric>
--- a/src/scheduler/operator_config/section.h
+++ b/src/scheduler/operator_config/section.h
@@ -2,7 +2,7 @@
 // look at the file shows all of them; a key that nobody has asked for is one of them.
 #pragma once
 
-#include "scheduler/operator_config/error.h"
+#include "scheduler/operator_config/problem.h"
 
 #include <yaml-cpp/yaml.h>
 
--- a/src/scheduler/upstream/pool.cpp
+++ b/src/scheduler/upstream/pool.cpp
@@ -253,8 +253,8 @@
     bool has_been_idle_ = false; // whether the current attempt or probe reuses it
 };
 
-Pool::Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
-           PoolLimits limits)
+Pool::Pool(net::Loop& loop, const discovery_client::WorkerRegistry& list,
+           const std::vector<config::ReportFieldNames>& fields, PoolLimits limits)
     : loop_(loop), list_(list), fields_(fields), limits_(limits) {}
 Pool::~Pool() = default;
 
--- a/src/scheduler/upstream/pool.h
+++ b/src/scheduler/upstream/pool.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "scheduler/core/host.h"
-#include "scheduler/discovery_client/list.h"
+#include "scheduler/discovery_client/worker_registry.h"
 #include "scheduler/net/connection.h"
 #include "scheduler/net/http.h"
 #include "scheduler/upstream/response_reader.h"
@@ -38,8 +38,8 @@
 // Not thread-safe: all calls come from the event loop.
 class Pool final : public core::Upstream {
   public:
-    Pool(net::Loop& loop, const discovery_client::List& list, const std::vector<config::ReportName>& fields,
-         PoolLimits limits);
+    Pool(net::Loop& loop, const discovery_client::WorkerRegistry& list,
+         const std::vector<config::ReportFieldNames>& fields, PoolLimits limits);
     ~Pool() override;
     void set_host(core::Host& host) { host_ = &host; } // required before any other call
 
@@ -73,8 +73,8 @@
     bool make_room(); // closes a connection if the limit is reached; false if none can be closed
 
     net::Loop& loop_;
-    const discovery_client::List& list_;
-    const std::vector<config::ReportName>& fields_;
+    const discovery_client::WorkerRegistry& list_;
+    const std::vector<config::ReportFieldNames>& fields_;
     PoolLimits limits_;
     core::Host* host_ = nullptr;
     ConnectionList idle_;                                                       // the most recently used last
--- a/src/scheduler/upstream/response_reader.cpp
+++ b/src/scheduler/upstream/response_reader.cpp
@@ -15,18 +15,18 @@
 
 constexpr double max_load_value = 1e6;
 
-void set_load_value(std::optional<Report>& report, const config::ReportName& field, double value) {
+void set_load_value(std::optional<Report>& report, const config::ReportFieldNames& field, double value) {
     // No load value can be negative, and a single absurd one would distort moving averages for a long time.
     if (!std::isfinite(value) || value < 0 || value > max_load_value) return;
     if (!report) report.emplace();
     (*report).*field.field = value;
 }
 
-std::optional<Report> read_load(const object& load, const std::vector<config::ReportName>& fields) {
+std::optional<Report> read_load(const object& load, const std::vector<config::ReportFieldNames>& fields) {
     std::optional<Report> report;
-    for (const config::ReportName& field : fields) {
+    for (const config::ReportFieldNames& field : fields) {
         double value = 0;
-        if (load[field.wire].get(value) == SUCCESS || load[field.setting].get(value) == SUCCESS)
+        if (load[field.wire_name].get(value) == SUCCESS || load[field.setting_name].get(value) == SUCCESS)
             set_load_value(report, field, value);
     }
     return report;
@@ -38,7 +38,7 @@
     simdjson::dom::parser parser;
 };
 
-ResponseReader::ResponseReader(const std::vector<config::ReportName>& fields)
+ResponseReader::ResponseReader(const std::vector<config::ReportFieldNames>& fields)
     : fields_(fields), json_(std::make_unique<Json>()) {}
 ResponseReader::~ResponseReader() = default;
 
@@ -130,8 +130,8 @@
         const std::string value(item.substr(equals + 1));
         char* end = nullptr;
         const double number = std::strtod(value.c_str(), &end);
-        for (const config::ReportName& field : fields_) {
-            if (end != value.c_str() && (name == field.wire || name == field.setting))
+        for (const config::ReportFieldNames& field : fields_) {
+            if (end != value.c_str() && (name == field.wire_name || name == field.setting_name))
                 set_load_value(report, field, number);
         }
     }
--- a/src/scheduler/upstream/response_reader.h
+++ b/src/scheduler/upstream/response_reader.h
@@ -30,7 +30,7 @@
 // Reads the response to one attempt incrementally: a stream of JSON lines, of which the last is the result.
 class ResponseReader {
   public:
-    explicit ResponseReader(const std::vector<config::ReportName>& fields);
+    explicit ResponseReader(const std::vector<config::ReportFieldNames>& fields);
     ~ResponseReader();
 
     void begin(std::string id); // of the message whose response follows
@@ -49,7 +49,7 @@
     std::optional<willowrill::Report> read_load_header(const net::http::Head& head) const;
 
     struct Json;
-    const std::vector<config::ReportName>& fields_;
+    const std::vector<config::ReportFieldNames>& fields_;
     std::unique_ptr<Json> json_;
     std::string id_;
 };
--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -31,7 +31,7 @@
 struct StalledConnection {
     StalledConnection() {
         fixture.host.handle_worker_list(
-            *fixture.list.read(SchedulerFixture::list_text(42, saturated_listener.address)));
+            *fixture.list.apply_update(SchedulerFixture::list_text(42, saturated_listener.address)));
         client = fixture.connect_client(SchedulerFixture::job_request("a", long_timeout_header));
         REQUIRE(fixture.run_until([&] { return fixture.pool.size() == 1; }));
     }
@@ -68,8 +68,8 @@
 TEST_CASE("a worker that starts to drain while its connection comes up does not get the request") {
     StalledConnection stalled;
     std::string draining_list = SchedulerFixture::list_text(43, stalled.saturated_listener.address);
-    stalled.fixture.host.handle_worker_list(
-        *stalled.fixture.list.read(draining_list.replace(draining_list.find("\"up\""), 4, "\"draining\"")));
+    stalled.fixture.host.handle_worker_list(*stalled.fixture.list.apply_update(
+        draining_list.replace(draining_list.find("\"up\""), 4, "\"draining\"")));
     stalled.fixture.pool.close_unlisted();
     CHECK(stalled.fixture.pool.size() == 0);
     CHECK(outcome_count(stalled.fixture, willowrill::Outcome::not_sent) == 1);
@@ -93,8 +93,8 @@
 // may run the job twice.
 TEST_CASE("a repeat does not start after its window, however late its connection comes up") {
     config::Settings settings = patient_settings();
-    settings.decisions.classes[1].repeat_window = 300ms;
-    settings.decisions.classes[1].kind = willowrill::none;
+    settings.dispatcher.classes[1].repeat_window = 300ms;
+    settings.dispatcher.classes[1].kind = willowrill::none;
     SchedulerFixture fixture(10, 10, settings);
     const auto client = fixture.connect_client(
         "POST /api HTTP/1.1\r\nHost: h\r\nX-Request-ID: a\r\nX-Priority-Class: keyed\r\n"
@@ -105,7 +105,7 @@
     std::string list = fixture.list_text(43);
     list.insert(list.rfind("]}"), R"(,{"id":"s2","addr":")" + saturated_listener.address.text() +
                                       R"(","zone":"a","kind":"m1","state":"up","started_ms":0})");
-    fixture.host.handle_worker_list(*fixture.list.read(list));
+    fixture.host.handle_worker_list(*fixture.list.apply_update(list));
     fixture.worker.peers[0]->connection.close(); // it may have run
     CHECK(fixture.run_until([&] { return client->has_received("HTTP/1.1 502 "); }));
     CHECK(fixture.host.counters().sent == 2);
@@ -242,10 +242,10 @@
     "a discovery that rejects requests beside an unanswered one gets a pause and counts as silent once") {
     SchedulerFixture fixture;
     const Listener discovery(fixture.loop); // used by this watch only
-    discovery_client::WatchTimes times = discovery_client::watch_times(10s, 200ms);
-    times.hold = times.late = 4ms;
-    discovery_client::Watch watch(fixture.loop, discovery.address, times, 1, fixture.list,
-                                  [](const auto&) {});
+    discovery_client::WatchTimeouts times = discovery_client::compute_watch_timeouts(10s, 200ms);
+    times.max_hold = times.stall_timeout = 4ms;
+    discovery_client::DiscoveryWatcher watch(fixture.loop, discovery.address, times, 1, fixture.list,
+                                             [](const auto&) {});
     watch.watch(true);
     for (std::size_t request_index = 1; request_index <= 2; ++request_index) { // request 0 stays unanswered
         REQUIRE(fixture.run_until([&] {
@@ -257,20 +257,21 @@
         REQUIRE(fixture.run_until([&] { return discovery.peers.size() > request_index + 1; }));
         CHECK(fixture.loop.now() - refused_at >= load_estimates::initial_back_off / 2);
     }
-    CHECK(watch.silences() == 1);
+    CHECK(watch.stall_count() == 1);
 }
 
 TEST_CASE("changes known to a recovered discovery are received within the allowed time, for all settings") {
     const auto back_off = load_estimates::max_back_off;
     for (const auto list_valid : {1s, 2s, 10s, 60s}) {
         for (const auto grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const discovery_client::WatchTimes times = discovery_client::watch_times(list_valid, grace);
-            const net::Duration allowed = times.allowed_after_failure(grace);
+            const discovery_client::WatchTimeouts times =
+                discovery_client::compute_watch_timeouts(list_valid, grace);
+            const net::Duration allowed = times.drain_deadline_after_failure(grace);
             const auto tick = std::min<net::Duration>(grace / 10, 10ms);
-            CHECK(times.heard_after_failure(back_off, 0s, 2s, tick) <= allowed);
-            CHECK(times.heard_after_failure(back_off, 1500ms, 500ms, tick) <= allowed);
-            CHECK(times.heard_after_loss(1s, tick) <= allowed);
-            CHECK(times.heard_from_agent(grace / 4, tick) <= grace);
+            CHECK(times.max_time_to_list_after_failure(back_off, 0s, 2s, tick) <= allowed);
+            CHECK(times.max_time_to_list_after_failure(back_off, 1500ms, 500ms, tick) <= allowed);
+            CHECK(times.max_time_to_list_after_loss(1s, tick) <= allowed);
+            CHECK(times.max_time_to_list_from_agent(grace / 4, tick) <= grace);
         }
     }
 }
--- a/tests/scheduler/gossip/mesh_test.cpp
+++ b/tests/scheduler/gossip/mesh_test.cpp
@@ -74,7 +74,7 @@
     net::Loop loop;
     net::Fd sender_socket;
     net::Endpoint sender_address;
-    operator_config::Site site;
+    operator_config::OperatorConfig site;
     std::string directory;
 };
 
--- a/tests/scheduler/operator_config/site_test.cpp
+++ b/tests/scheduler/operator_config/operator_config_test.cpp
@@ -1,5 +1,5 @@
+#include "scheduler/operator_config/operator_config.h"
 #include "scheduler/operator_config/section.h"
-#include "scheduler/operator_config/site.h"
 
 #include <doctest/doctest.h>
 #include <sys/stat.h>
@@ -45,7 +45,7 @@
 std::vector<Problem> problems_of(const std::string& text) {
     try {
         parse("f.yaml", text);
-    } catch (const SiteError& error) {
+    } catch (const OperatorConfigError& error) {
         return error.problems();
     }
     return {};
@@ -53,7 +53,7 @@
 
 TEST_CASE("an empty operators' file turns nothing on") {
     for (const char* text : {"", "# nothing\n", "log:\n  format: text\n"}) {
-        const Site site = parse("f.yaml", text);
+        const OperatorConfig site = parse("f.yaml", text);
         CHECK_FALSE(site.mesh);
         CHECK_FALSE(site.counts);
         CHECK(site.log.format == LogFormat::text);
@@ -67,7 +67,7 @@
     const auto first = [](const std::string& file) -> std::string {
         try {
             read(file);
-        } catch (const SiteError& error) {
+        } catch (const OperatorConfigError& error) {
             return error.what();
         }
         return "";
@@ -96,10 +96,11 @@
     Folder folder;
     const std::string one = folder.write("1.key", digits + "\n"),
                       two = folder.write("2.key", std::string(64, 'B'));
-    const Site site = parse("f.yaml", "instance: a1\nstate_dir: /var/x\nlog: {format: json, level: debug}\n" +
-                                          mesh(one, "    - {id: 8, file: " + two +
-                                                        "}\n  seal_with: 8\n  seeds: ['127.0.0.2:7946']\n") +
-                                          "counts:\n  rate: 50\n  interval: 100ms\n");
+    const OperatorConfig site =
+        parse("f.yaml", "instance: a1\nstate_dir: /var/x\nlog: {format: json, level: debug}\n" +
+                            mesh(one, "    - {id: 8, file: " + two +
+                                          "}\n  seal_with: 8\n  seeds: ['127.0.0.2:7946']\n") +
+                            "counts:\n  rate: 50\n  interval: 100ms\n");
     CHECK(site.instance == "a1");
     CHECK(site.log.format == LogFormat::json);
     REQUIRE(site.mesh);
@@ -169,7 +170,7 @@
     CHECK(problems[0].line == 2);
     CHECK(problems[1].what.find("'level'") != std::string::npos);
     CHECK(problems[2].text().starts_with("f.yaml:4: state_di: unknown key"));
-    CHECK(std::string(SiteError(problems).what()).find('\n') == std::string::npos);
+    CHECK(std::string(OperatorConfigError(problems).what()).find('\n') == std::string::npos);
 }
 
 TEST_CASE("the secret itself stands in no message") {
@@ -210,12 +211,13 @@
 TEST_CASE("what a reload cannot take over is named") {
     Folder folder;
     const std::string key = folder.write("1.key", digits);
-    const Site before = parse("f.yaml", mesh(key, "counts:\n  rate: 5\n"));
-    CHECK(needs_restart(before, parse("f.yaml", mesh(key, "  bytes_per_second: 20000\ncounts:\n  rate: 5\n")))
+    const OperatorConfig before = parse("f.yaml", mesh(key, "counts:\n  rate: 5\n"));
+    CHECK(keys_requiring_restart(
+              before, parse("f.yaml", mesh(key, "  bytes_per_second: 20000\ncounts:\n  rate: 5\n")))
               .empty());
-    CHECK(needs_restart(before, parse("f.yaml", mesh(key, "counts:\n  rate: 6\n"))) ==
+    CHECK(keys_requiring_restart(before, parse("f.yaml", mesh(key, "counts:\n  rate: 6\n"))) ==
           std::vector<std::string>{"counts.rate", "counts.burst"});
-    CHECK(needs_restart(before, parse("f.yaml", "")) == std::vector<std::string>{"mesh", "counts"});
+    CHECK(keys_requiring_restart(before, parse("f.yaml", "")) == std::vector<std::string>{"mesh", "counts"});
 }
 
 } // namespace
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -1,6 +1,6 @@
 // Parsers: the configuration, discovery's endpoint lists, workers' responses and clients' requests.
 #include "scheduler/config/settings.h"
-#include "scheduler/discovery_client/list.h"
+#include "scheduler/discovery_client/worker_registry.h"
 #include "scheduler/frontend/request.h"
 #include "scheduler/upstream/response_reader.h"
 #include "support/check_property.h"
@@ -60,13 +60,13 @@
     const config::Settings settings = test_settings();
     CHECK(settings.name == "n3");
     CHECK(settings.discovery.text() == "127.0.0.1:2");
-    CHECK(settings.sockets == 200);
-    CHECK(settings.max_open == 50);
+    CHECK(settings.max_sockets == 200);
+    CHECK(settings.max_open_requests == 50);
     CHECK(settings.connection_idle == 5s);
     CHECK(settings.connect_timeout == 250ms);
     REQUIRE(settings.report_fields.size() == 2);
-    CHECK(settings.report_fields[0].wire == "util");
-    const willowrill::Settings& decisions = settings.decisions;
+    CHECK(settings.report_fields[0].wire_name == "util");
+    const willowrill::Settings& decisions = settings.dispatcher;
     CHECK(decisions.seed == 0x8c1f30d27a5be964);
     CHECK(decisions.self == 2);
     CHECK(decisions.dispatchers == 3);
@@ -104,19 +104,19 @@
 
 TEST_CASE("descriptors and memory bound the connections of each side") {
     config::Settings settings = test_settings();
-    settings.sockets = 1024;
+    settings.max_sockets = 1024;
     settings.memory_mb = 192;
-    CHECK(config::connections_per_side(settings, 4096) == 496);
-    CHECK(config::connections_per_side(settings, 232) == 100); // the limit of the process is lower
+    CHECK(config::max_connections_per_side(settings, 4096) == 496);
+    CHECK(config::max_connections_per_side(settings, 232) == 100); // the limit of the process is lower
     // The smallest deployment: the memory suffices for all connections and for messages of ordinary size.
     settings.memory_mb = 32;
-    settings.sockets = 256;
-    CHECK(config::connections_per_side(settings, 4096) == 112);
-    CHECK(config::message_memory(settings) == 8U << 20U);
-    settings.sockets = 1024;
-    CHECK(config::connections_per_side(settings, 4096) == 122);
+    settings.max_sockets = 256;
+    CHECK(config::max_connections_per_side(settings, 4096) == 112);
+    CHECK(config::max_message_bytes(settings) == 8U << 20U);
+    settings.max_sockets = 1024;
+    CHECK(config::max_connections_per_side(settings, 4096) == 122);
     settings.memory_mb = 0;
-    CHECK(config::connections_per_side(settings, 0) == 1);
+    CHECK(config::max_connections_per_side(settings, 0) == 1);
 }
 
 TEST_CASE("environment variables override the file, and an invalid configuration is reported in one line") {
@@ -269,15 +269,15 @@
 
 TEST_CASE(
     "discovery's lists: full ones replace the list, changes are applied, malformed ones change nothing") {
-    discovery_client::List list(test_settings().names);
+    discovery_client::WorkerRegistry list(test_settings().names);
     const auto entry = [](const std::string& id, const std::string& state, const std::string& port = "5000") {
         return R"({"id":")" + id + R"(","addr":"127.0.0.1:)" + port +
                R"(","zone":"a","kind":"m2","cell":3,"state":")" + state +
                R"(","weight":1.5,"started_ms":1700000000123})";
     };
     const auto read = [&](int version, bool full, const std::string& entries) {
-        return list.read("{\"version\":" + std::to_string(version) +
-                         ",\"full\":" + (full ? "true" : "false") + ",\"servers\":[" + entries + "]}");
+        return list.apply_update("{\"version\":" + std::to_string(version) + ",\"full\":" +
+                                 (full ? "true" : "false") + ",\"servers\":[" + entries + "]}");
     };
     CHECK(list.empty());
     auto update = read(41, true, entry("s1", "up") + "," + entry("s2", "draining"));
@@ -294,7 +294,7 @@
 
     for (const char* nonsense : {"", "{}", "[]", "{\"version\":42,\"full\":true,\"servers\":[{}]}",
                                  "{\"version\":-1,\"full\":true,\"servers\":[]}"}) {
-        CHECK_FALSE(list.read(nonsense));
+        CHECK_FALSE(list.apply_update(nonsense));
     }
     CHECK_FALSE(read(42, true, entry("s3", "up") + "," + entry("s4", "odd")));
     CHECK_FALSE(read(42, true, entry("s3", "up", "x")));
--- a/tests/scheduler/program/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -8,7 +8,7 @@
 TEST_CASE("a connection that is never established proves that the job never ran") {
     const SaturatedListener deaf;
     SchedulerFixture rig;
-    rig.host.handle_worker_list(*rig.list.read(SchedulerFixture::list_text(42, deaf.address)));
+    rig.host.handle_worker_list(*rig.list.apply_update(SchedulerFixture::list_text(42, deaf.address)));
     const auto client = rig.connect_client(SchedulerFixture::job_request("a"));
     CHECK(rig.run_until([&] { return client->has_received("HTTP/1.1 503 "); }));
     const auto& outcomes = rig.host.counters().outcomes;
@@ -20,15 +20,16 @@
     SchedulerFixture rig;
     const net::Endpoint unreachable = Listener(rig.loop).address;
     int broken = 0;
-    discovery_client::Watch watch(rig.loop, unreachable, discovery_client::watch_times(10s, 1s), 1, rig.list,
-                                  [&](const auto& update) {
-                                      CHECK(update.kind == willowrill::EndpointListUpdate::Kind::broken);
-                                      ++broken;
-                                  });
+    discovery_client::DiscoveryWatcher watch(
+        rig.loop, unreachable, discovery_client::compute_watch_timeouts(10s, 1s), 1, rig.list,
+        [&](const auto& update) {
+            CHECK(update.kind == willowrill::EndpointListUpdate::Kind::broken);
+            ++broken;
+        });
     watch.watch(true);
     CHECK(rig.run_until([&] { return broken > 0; }));
     CHECK(broken == 1);
-    CHECK(watch.silences() == 0);
+    CHECK(watch.stall_count() == 0);
 }
 
 // Guards against waiting out a silent call before the next one: a hold as long as the list is valid plus 1.5
@@ -37,10 +38,10 @@
     "a silent discovery is asked again while the first call is pending, and the first response counts") {
     SchedulerFixture rig;
     int drain_updates = 0, broken = 0;
-    discovery_client::WatchTimes times = discovery_client::watch_times(10s, 1s);
-    times.hold = 4ms;
-    times.late = 10ms;
-    discovery_client::Watch watch(
+    discovery_client::WatchTimeouts times = discovery_client::compute_watch_timeouts(10s, 1s);
+    times.max_hold = 4ms;
+    times.stall_timeout = 10ms;
+    discovery_client::DiscoveryWatcher watch(
         rig.loop, rig.discovery.address, times, 1, rig.list, [&](const auto& update) {
             broken += update.kind == willowrill::EndpointListUpdate::Kind::broken ? 1 : 0;
             for (const auto& entry : update.entries)
@@ -56,7 +57,7 @@
     REQUIRE(requested(0, "?from=41&hold_ms="));   // gets no response, and stays open
     REQUIRE(requested(1, "?from=41&hold_ms=1 ")); // a short hold: the response is due at once
     CHECK_FALSE(rig.discovery.peers[0]->closed);
-    CHECK(watch.silences() == 1);
+    CHECK(watch.stall_count() == 1);
     std::string list = rig.list_text(43);
     list.replace(list.find("\"up\""), 4, "\"draining\"");
     rig.discovery.peers[1]->received.clear();
@@ -70,11 +71,13 @@
 TEST_CASE("the tolerated silence of discovery does not exceed the notification limit for any settings") {
     for (const auto list_valid : {0s, 1s, 2s, 10s, 60s}) {
         for (const auto drain_grace : {50ms, 300ms, 1000ms, 5000ms}) {
-            const discovery_client::WatchTimes times = discovery_client::watch_times(list_valid, drain_grace);
-            CHECK(times.hold > 0ns);
-            CHECK(times.reopen <= drain_grace);
+            const discovery_client::WatchTimeouts times =
+                discovery_client::compute_watch_timeouts(list_valid, drain_grace);
+            CHECK(times.max_hold > 0ns);
+            CHECK(times.reopen_delay <= drain_grace);
             // Two calls of which the first is lost, each with one second for its response.
-            CHECK(times.heard_by(2, times.open + 1s) <= times.allowed(drain_grace));
+            CHECK(times.max_time_to_response(2, times.connect_timeout + 1s) <=
+                  times.drain_deadline(drain_grace));
         }
     }
 }
@@ -306,9 +309,9 @@
         return std::string(R"({"id":")") + id + R"(","addr":")" + at.text() +
                R"(","zone":"a","kind":"m1","state":")" + state + "\"}";
     };
-    rig.host.handle_worker_list(*rig.list.read(R"({"version":43,"full":false,"servers":[)" +
-                                               entry("s1", rig.worker.address, "draining") + "," +
-                                               entry("s2", second.address, "up") + "]}"));
+    rig.host.handle_worker_list(*rig.list.apply_update(R"({"version":43,"full":false,"servers":[)" +
+                                                       entry("s1", rig.worker.address, "draining") + "," +
+                                                       entry("s2", second.address, "up") + "]}"));
     client->connection.write(SchedulerFixture::job_request("b"));
     CHECK(rig.run_until(
         [&] { return second.peers.size() == 1 && second.peers[0]->has_received("X-Request-ID: b"); }));
@@ -534,7 +537,7 @@
     };
     REQUIRE(requested(rig.discovery, 0, "from=41&hold_ms="));
     Listener moved(rig.loop);
-    rig.watch.move(moved.address);
+    rig.watch.set_endpoint(moved.address);
     CHECK(rig.list.condition(0) == willowrill::Condition::ready); // the current list stays in use
     REQUIRE(requested(moved, 0, "GET /v1/endpoints HTTP/1.1"));
     CHECK(rig.run_until([&] { return rig.discovery.peers[0]->closed; }));
--- a/tests/scheduler/support/scheduler_fixture.h
+++ b/tests/scheduler/support/scheduler_fixture.h
@@ -24,13 +24,13 @@
         : settings(std::move(initial_settings)), list(settings.names),
           pool(loop, list, settings.report_fields,
                {.connections = max_attempts, .idle = 5s, .connect_timeout = settings.connect_timeout}),
-          watch(loop, discovery.address, discovery_client::watch_times(10s, 1s), 1, list,
+          watch(loop, discovery.address, discovery_client::compute_watch_timeouts(10s, 1s), 1, list,
                 [this](auto update) { host.handle_worker_list(std::move(update)); }),
-          host(settings.decisions, settings.max_open, 1U << 20U, pool, watch),
+          host(settings.dispatcher, settings.max_open_requests, 1U << 20U, pool, watch),
           front(loop, settings, host, max_clients, [] { return true; }) {
         pool.set_host(host);
         front.set_accepting(true);
-        auto initial_list = list.read(list_text(41));
+        auto initial_list = list.apply_update(list_text(41));
         initial_list->kind = willowrill::EndpointListUpdate::Kind::remembered;
         host.handle_worker_list(std::move(*initial_list));
         loop.set_iteration_end_hook([this] {
@@ -80,9 +80,9 @@
     const config::Settings settings;
     net::Loop loop;
     Listener worker{loop}, discovery{loop};
-    discovery_client::List list;
+    discovery_client::WorkerRegistry list;
     upstream::Pool pool;
-    discovery_client::Watch watch;
+    discovery_client::DiscoveryWatcher watch;
     core::Host host;
     frontend::Frontend front;
 };
