--- a/src/scheduler/ctl/main.cpp
+++ b/src/scheduler/ctl/main.cpp
@@ -46,7 +46,7 @@
         for (std::size_t i = 0; i < problems.size(); ++i) {
             std::cout << (i > 0 ? ",\n" : "\n") << "{\"file\":" << log::json_quote(problems[i].file)
                       << ",\"line\":" << problems[i].line << ",\"key\":" << log::json_quote(problems[i].key)
-                      << ",\"problem\":" << log::json_quote(problems[i].what) << "}";
+                      << ",\"problem\":" << log::json_quote(problems[i].message) << "}";
         }
         std::cout << "]\n";
     } else {
--- a/src/scheduler/operator_config/problem.cpp
+++ b/src/scheduler/operator_config/problem.cpp
@@ -28,7 +28,7 @@
     if (line > 0) out += ":" + std::to_string(line);
     out += ": ";
     if (!key.empty()) out += key + ": ";
-    return out + what;
+    return out + message;
 }
 
 std::string nearest(std::string_view word, const std::vector<std::string_view>& known) {
--- a/src/scheduler/operator_config/problem.h
+++ b/src/scheduler/operator_config/problem.h
@@ -11,7 +11,7 @@
     std::string file;
     int line = 0;    // from 1; 0: the file as a whole
     std::string key; // the path of the key, such as `mesh.keys[0].file`; empty: the file as a whole
-    std::string what;
+    std::string message;
 
     std::string text() const; // `FILE:LINE: KEY: WHAT`, one line
 };
--- a/tests/scheduler/operator_config/operator_config_test.cpp
+++ b/tests/scheduler/operator_config/operator_config_test.cpp
@@ -157,7 +157,7 @@
         for (const Problem& problem : problems_of(one.text)) {
             all += problem.text() + "\n";
             found = found || (problem.key == one.key && problem.line == one.line &&
-                              problem.what.find(one.says) != std::string::npos);
+                              problem.message.find(one.says) != std::string::npos);
         }
         CAPTURE(all);
         CHECK(found);
@@ -168,7 +168,7 @@
     const auto problems = problems_of("log:\n  format: x\n  levle: info\nstate_di: y\n");
     REQUIRE(problems.size() == 3);
     CHECK(problems[0].line == 2);
-    CHECK(problems[1].what.find("'level'") != std::string::npos);
+    CHECK(problems[1].message.find("'level'") != std::string::npos);
     CHECK(problems[2].text().starts_with("f.yaml:4: state_di: unknown key"));
     CHECK(std::string(OperatorConfigError(problems).what()).find('\n') == std::string::npos);
 }
