--- a/src/scheduler/operator_config/problem.h
+++ b/src/scheduler/operator_config/problem.h
@@ -1,4 +1,4 @@
-// What is wrong with an operators' file, said so that it can be put right without reading the program.
+// An error in an operators' file, described so that an operator can correct it without reading the source.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 
 struct Problem {
     std::string file;
-    int line = 0;    // from 1; 0: the file as a whole
-    std::string key; // the path of the key, such as `mesh.keys[0].file`; empty: the file as a whole
-    std::string message;
+    int line = 0;        // 1-based; 0 if the problem concerns the file as a whole
+    std::string key;     // path of the key, such as `mesh.keys[0].file`; empty for the file as a whole
+    std::string message; // what was found and what is allowed
 
-    std::string text() const; // `FILE:LINE: KEY: WHAT`, one line
+    std::string text() const; // `FILE:LINE: KEY: MESSAGE`, on one line
 };
 
-// The nearest of `known` to a mistyped word, empty where none is near enough to be meant.
-std::string nearest(std::string_view word, const std::vector<std::string_view>& known);
+// Returns the candidate with the smallest edit distance to `word`, or an empty string if none is within a
+// third of the word's length (at least two edits).
+std::string closest_match(std::string_view word, const std::vector<std::string_view>& candidates);
 
 } // namespace willowrill::operator_config
--- a/src/scheduler/operator_config/section.cpp
+++ b/src/scheduler/operator_config/section.cpp
@@ -11,6 +11,7 @@
 
 using std::chrono::nanoseconds;
 
+// The units of durations, the largest first.
 struct Unit {
     std::string_view name;
     std::int64_t nanoseconds;
@@ -21,37 +22,38 @@
                                      {"ms", 1'000'000},
                                      {"us", 1'000}}};
 
-std::string_view kind_of(const YAML::Node& node) {
+std::string_view describe_type(const YAML::Node& node) {
     if (node.IsMap()) return "a mapping";
     if (node.IsSequence()) return "a list";
     return node.IsNull() ? "nothing" : "a value";
 }
 
-std::string quoted(std::string_view text) { // long values are not repeated in full
-    constexpr std::size_t most = 60;
-    std::string out = "'";
-    for (const char c : text.substr(0, most))
-        out += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
-    return out + (text.size() > most ? "...'" : "'");
+// Quotes a value for a message: truncated if it is long, control characters replaced by blanks.
+std::string quote(std::string_view text) {
+    constexpr std::size_t max_length = 60;
+    std::string quoted = "'";
+    for (const char c : text.substr(0, max_length))
+        quoted += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
+    return quoted + (text.size() > max_length ? "...'" : "'");
 }
 
 } // namespace
 
-std::string to_text(nanoseconds span) {
+std::string format_duration(nanoseconds duration) {
     for (const Unit& unit : units) {
-        if (span.count() != 0 && span.count() % unit.nanoseconds == 0)
-            return std::to_string(span.count() / unit.nanoseconds) + std::string(unit.name);
+        if (duration.count() != 0 && duration.count() % unit.nanoseconds == 0)
+            return std::to_string(duration.count() / unit.nanoseconds) + std::string(unit.name);
     }
-    return span.count() == 0 ? "0s" : std::to_string(span.count()) + "ns";
+    return duration.count() == 0 ? "0s" : std::to_string(duration.count()) + "ns";
 }
 
-std::optional<nanoseconds> to_span(std::string_view text) {
+std::optional<nanoseconds> parse_duration(std::string_view text) {
     std::int64_t count = 0;
-    const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), count);
-    const std::string_view name = text.substr(static_cast<std::size_t>(stop - text.data()));
+    const auto [number_end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
+    const std::string_view unit_name = text.substr(static_cast<std::size_t>(number_end - text.data()));
     if (error != std::errc{} || count < 0) return std::nullopt;
     for (const Unit& unit : units) {
-        if (name != unit.name) continue;
+        if (unit_name != unit.name) continue;
         if (count > std::numeric_limits<std::int64_t>::max() / unit.nanoseconds) return std::nullopt;
         return nanoseconds(count * unit.nanoseconds);
     }
@@ -61,30 +63,30 @@
 Section::Section(std::string file, std::string path, const YAML::Node& node, std::vector<Problem>& problems)
     : file_(std::move(file)), path_(std::move(path)), node_(node), problems_(problems) {
     if (node_ && !node_.IsNull() && !node_.IsMap()) {
-        problems_.push_back(
-            {file_, line(), path_, "found " + std::string(kind_of(node_)) + ", wanted a mapping of keys"});
+        problems_.push_back({file_, line(), path_,
+                             "found " + std::string(describe_type(node_)) + ", expected a mapping of keys"});
         node_ = YAML::Node();
     }
 }
 
 Section::~Section() {
     if (!node_ || !node_.IsMap()) return;
-    std::vector<std::string> seen;
+    std::vector<std::string> seen_keys;
     for (const auto& entry : node_) {
-        const int at = entry.first.Mark().line + 1;
+        const int entry_line = entry.first.Mark().line + 1;
         const std::string key = entry.first.IsScalar() ? entry.first.Scalar() : "?";
-        // yaml-cpp takes the first of two, without a word.
-        if (std::ranges::find(seen, key) != seen.end())
-            problems_.push_back({file_, at, path_of(key), "found twice, allowed once"});
-        seen.push_back(key);
-        if (std::ranges::find(known_, std::string_view(key)) != known_.end()) continue;
-        std::string what = "unknown key";
-        if (const std::string meant = nearest(key, known_); !meant.empty())
-            what += "; did you mean '" + meant + "'?";
-        what += " Allowed here: ";
-        for (std::size_t i = 0; i < known_.size(); ++i)
-            what += (i > 0 ? ", " : "") + std::string(known_[i]);
-        problems_.push_back({file_, at, path_of(key), what});
+        // yaml-cpp silently uses the first of two equal keys.
+        if (std::ranges::find(seen_keys, key) != seen_keys.end())
+            problems_.push_back({file_, entry_line, path_of(key), "found twice, allowed once"});
+        seen_keys.push_back(key);
+        if (std::ranges::find(requested_keys_, std::string_view(key)) != requested_keys_.end()) continue;
+        std::string message = "unknown key";
+        if (const std::string suggestion = closest_match(key, requested_keys_); !suggestion.empty())
+            message += "; did you mean '" + suggestion + "'?";
+        message += " Allowed here: ";
+        for (std::size_t i = 0; i < requested_keys_.size(); ++i)
+            message += (i > 0 ? ", " : "") + std::string(requested_keys_[i]);
+        problems_.push_back({file_, entry_line, path_of(key), message});
     }
 }
 
@@ -102,16 +104,16 @@
     return line();
 }
 
-void Section::problem(std::string_view key, std::string what) {
-    problems_.push_back({file_, line_of(key), path_of(key), std::move(what)});
+void Section::add_problem(std::string_view key, std::string message) {
+    problems_.push_back({file_, line_of(key), path_of(key), std::move(message)});
 }
 
-void Section::needed(std::string_view key) {
-    if (!has(key)) problem(key, "missing, needed here");
+void Section::require(std::string_view key) {
+    if (!has(key)) add_problem(key, "missing, required here");
 }
 
 std::optional<YAML::Node> Section::find(std::string_view key) {
-    if (std::ranges::find(known_, key) == known_.end()) known_.push_back(key);
+    if (std::ranges::find(requested_keys_, key) == requested_keys_.end()) requested_keys_.push_back(key);
     if (!node_.IsMap()) return std::nullopt;
     const YAML::Node found = std::as_const(node_)[std::string(key)];
     if (!found.IsDefined() || found.IsNull()) return std::nullopt;
@@ -120,84 +122,90 @@
 
 bool Section::has(std::string_view key) { return find(key).has_value(); }
 
-std::optional<std::string> Section::scalar(std::string_view key, std::string_view wanted) {
+std::optional<std::string> Section::find_scalar(std::string_view key, std::string_view expected) {
     const auto found = find(key);
     if (!found) return std::nullopt;
     if (found->IsScalar() && !found->Scalar().empty()) return found->Scalar();
-    problem(key, "found " + (found->IsScalar() ? "an empty text" : std::string(kind_of(*found))) +
-                     ", wanted " + std::string(wanted));
+    add_problem(key, "found " + (found->IsScalar() ? "an empty string" : std::string(describe_type(*found))) +
+                         ", expected " + std::string(expected));
     return std::nullopt;
 }
 
-void Section::text(std::string_view key, std::string& into) {
-    if (auto found = scalar(key, "a text")) into = std::move(*found);
+void Section::read_string(std::string_view key, std::string& output) {
+    if (auto found = find_scalar(key, "a string")) output = std::move(*found);
 }
 
-void Section::one_of(std::string_view key, std::string& into, const std::vector<std::string_view>& allowed) {
-    std::string list;
-    for (const std::string_view one : allowed)
-        list += (list.empty() ? "" : ", ") + std::string(one);
-    const auto found = scalar(key, "one of: " + list);
+void Section::read_choice(std::string_view key, std::string& output,
+                          const std::vector<std::string_view>& allowed) {
+    std::string choices;
+    for (const std::string_view item : allowed)
+        choices += (choices.empty() ? "" : ", ") + std::string(item);
+    const auto found = find_scalar(key, "one of: " + choices);
     if (!found) return;
     if (std::ranges::find(allowed, std::string_view(*found)) == allowed.end())
-        return problem(key, "found " + quoted(*found) + ", allowed: " + list);
-    into = *found;
+        return add_problem(key, "found " + quote(*found) + ", allowed: " + choices);
+    output = *found;
 }
 
-void Section::flag(std::string_view key, bool& into) {
-    const auto found = scalar(key, "true or false");
+void Section::read_bool(std::string_view key, bool& output) {
+    const auto found = find_scalar(key, "true or false");
     if (!found) return;
     if (*found != "true" && *found != "false")
-        return problem(key, "found " + quoted(*found) + ", allowed: true, false");
-    into = *found == "true";
+        return add_problem(key, "found " + quote(*found) + ", allowed: true, false");
+    output = *found == "true";
 }
 
-void Section::whole(std::string_view key, std::uint64_t& into, std::uint64_t low, std::uint64_t high) {
-    const std::string range = "a whole number from " + std::to_string(low) + " to " + std::to_string(high);
-    const auto found = scalar(key, range);
+void Section::read_integer(std::string_view key, std::uint64_t& output, std::uint64_t min_value,
+                           std::uint64_t max_value) {
+    const std::string range =
+        "a whole number from " + std::to_string(min_value) + " to " + std::to_string(max_value);
+    const auto found = find_scalar(key, range);
     if (!found) return;
     std::uint64_t value = 0;
     const char* end = found->data() + found->size();
-    const auto [stop, error] = std::from_chars(found->data(), end, value);
-    if (error != std::errc{} || stop != end || value < low || value > high)
-        return problem(key, "found " + quoted(*found) + ", allowed: " + range);
-    into = value;
+    const auto [parsed_end, error] = std::from_chars(found->data(), end, value);
+    if (error != std::errc{} || parsed_end != end || value < min_value || value > max_value)
+        return add_problem(key, "found " + quote(*found) + ", allowed: " + range);
+    output = value;
 }
 
-void Section::span(std::string_view key, nanoseconds& into, nanoseconds low, nanoseconds high) {
-    const std::string range = "a span from " + to_text(low) + " to " + to_text(high);
-    const auto found = scalar(key, range + ", such as 200ms, 5s, 10m");
+void Section::read_duration(std::string_view key, nanoseconds& output, nanoseconds min_value,
+                            nanoseconds max_value) {
+    const std::string range =
+        "a duration from " + format_duration(min_value) + " to " + format_duration(max_value);
+    const auto found = find_scalar(key, range + ", such as 200ms, 5s, 10m");
     if (!found) return;
-    const auto value = to_span(*found);
-    if (!value || *value < low || *value > high)
-        return problem(key, "found " + quoted(*found) + ", allowed: " + range + " (units us, ms, s, m, h)");
-    into = *value;
+    const auto value = parse_duration(*found);
+    if (!value || *value < min_value || *value > max_value)
+        return add_problem(key,
+                           "found " + quote(*found) + ", allowed: " + range + " (units us, ms, s, m, h)");
+    output = *value;
 }
 
-std::vector<YAML::Node> Section::list(std::string_view key) {
+std::vector<YAML::Node> Section::read_list(std::string_view key) {
     const auto found = find(key);
     if (!found) return {};
     if (!found->IsSequence()) {
-        problem(key, "found " + std::string(kind_of(*found)) + ", wanted a list");
+        add_problem(key, "found " + std::string(describe_type(*found)) + ", expected a list");
         return {};
     }
     return {found->begin(), found->end()};
 }
 
-std::vector<std::pair<std::string, int>> Section::texts(std::string_view key) {
-    std::vector<std::pair<std::string, int>> out;
-    for (const YAML::Node& one : list(key)) {
-        if (one.IsScalar() && !one.Scalar().empty()) {
-            out.emplace_back(one.Scalar(), one.Mark().line + 1);
+std::vector<std::pair<std::string, int>> Section::read_strings(std::string_view key) {
+    std::vector<std::pair<std::string, int>> strings;
+    for (const YAML::Node& item : read_list(key)) {
+        if (item.IsScalar() && !item.Scalar().empty()) {
+            strings.emplace_back(item.Scalar(), item.Mark().line + 1);
         } else {
-            problems_.push_back({file_, one.Mark().line + 1, path_of(key),
-                                 "found " + std::string(kind_of(one)) + " in a list of texts"});
+            problems_.push_back({file_, item.Mark().line + 1, path_of(key),
+                                 "found " + std::string(describe_type(item)) + " in a list of strings"});
         }
     }
-    return out;
+    return strings;
 }
 
-Section Section::below(std::string_view key) {
+Section Section::subsection(std::string_view key) {
     return Section(file_, path_of(key), find(key).value_or(YAML::Node()), problems_);
 }
 
--- a/src/scheduler/operator_config/section.h
+++ b/src/scheduler/operator_config/section.h
@@ -1,5 +1,5 @@
-// A mapping of the operators' file, read key by key. Problems are gathered rather than thrown, so that one
-// look at the file shows all of them; a key that nobody has asked for is one of them.
+// Reads one mapping of the operators' file key by key. Problems are collected rather than thrown, so that a
+// single run reports all of them. A key of the file that no caller has requested is a problem, too.
 #pragma once
 
 #include "scheduler/operator_config/problem.h"
@@ -17,46 +17,51 @@
 
 class Section {
   public:
+    // `path` is the path of the mapping's own key, empty for the top level. `problems` must outlive the
+    // section.
     Section(std::string file, std::string path, const YAML::Node& node, std::vector<Problem>& problems);
-    // Complains of the keys that were never asked for.
+    // Reports duplicate keys and the keys that were never requested.
     ~Section();
     Section(const Section&) = delete;
     Section& operator=(const Section&) = delete;
 
     bool has(std::string_view key);
-    // Each of these leaves `into` alone where the key is absent, and says what is wrong where it is of no
-    // use.
-    void text(std::string_view key, std::string& into);
-    void one_of(std::string_view key, std::string& into, const std::vector<std::string_view>& allowed);
-    void flag(std::string_view key, bool& into);
-    // Whole numbers within [low, high].
-    void whole(std::string_view key, std::uint64_t& into, std::uint64_t low, std::uint64_t high);
-    // A span such as `200ms`, `5s`, `10m`, `1h`, within [low, high].
-    void span(std::string_view key, std::chrono::nanoseconds& into, std::chrono::nanoseconds low,
-              std::chrono::nanoseconds high);
-    std::vector<std::pair<std::string, int>> texts(std::string_view key); // a list of texts, with their lines
-    // The mappings below a key; an absent key gives an absent one, in which every key is absent.
-    Section below(std::string_view key);
-    std::vector<YAML::Node> list(std::string_view key);
+    // The read functions leave `output` unchanged if the key is absent. If its value is invalid they add a
+    // problem and leave `output` unchanged as well.
+    void read_string(std::string_view key, std::string& output);
+    void read_choice(std::string_view key, std::string& output, const std::vector<std::string_view>& allowed);
+    void read_bool(std::string_view key, bool& output);
+    // An integer within [min_value, max_value].
+    void read_integer(std::string_view key, std::uint64_t& output, std::uint64_t min_value,
+                      std::uint64_t max_value);
+    // A duration such as `200ms`, `5s`, `10m` or `1h`, within [min_value, max_value].
+    void read_duration(std::string_view key, std::chrono::nanoseconds& output,
+                       std::chrono::nanoseconds min_value, std::chrono::nanoseconds max_value);
+    // Returns the strings of a list, each with its line number.
+    std::vector<std::pair<std::string, int>> read_strings(std::string_view key);
+    // Returns the mapping below a key. If the key is absent, so is every key of the returned section.
+    Section subsection(std::string_view key);
+    std::vector<YAML::Node> read_list(std::string_view key);
     std::string path_of(std::string_view key) const;
-    int line_of(std::string_view key) const; // that of the section where the key is absent
+    int line_of(std::string_view key) const; // the line of the section if the key is absent
     int line() const;
 
-    void problem(std::string_view key, std::string what); // at that key
-    void needed(std::string_view key);                    // a problem where the key is absent
+    void add_problem(std::string_view key, std::string message); // located at the key
+    void require(std::string_view key);                          // adds a problem if the key is absent
 
   private:
     std::optional<YAML::Node> find(std::string_view key);
-    std::optional<std::string> scalar(std::string_view key, std::string_view wanted);
+    std::optional<std::string> find_scalar(std::string_view key, std::string_view expected);
 
     std::string file_, path_;
     YAML::Node node_;
     std::vector<Problem>& problems_;
-    std::vector<std::string_view> known_; // what was asked for; callers pass literals
+    std::vector<std::string_view> requested_keys_; // views of string literals
 };
 
-// `1500` ns as `1500ns`, 2 s as `2s`: the largest unit that gives a whole number.
-std::string to_text(std::chrono::nanoseconds span);
-std::optional<std::chrono::nanoseconds> to_span(std::string_view text);
+// Formats a duration in the largest unit that gives an integer: 2 s as `2s`, 1500 ns as `1500ns`.
+std::string format_duration(std::chrono::nanoseconds duration);
+// Parses a non-negative integer followed by one of the units us, ms, s, m, h.
+std::optional<std::chrono::nanoseconds> parse_duration(std::string_view text);
 
 } // namespace willowrill::operator_config
--- a/tests/scheduler/operator_config/operator_config_test.cpp
+++ b/tests/scheduler/operator_config/operator_config_test.cpp
@@ -14,13 +14,13 @@
 
 using namespace std::chrono_literals;
 
-class Folder {
+class TemporaryFolder {
   public:
-    Folder() {
+    TemporaryFolder() {
         std::string name = "/tmp/willowrill-site-XXXXXX";
         if (::mkdtemp(name.data()) != nullptr) path = name;
     }
-    ~Folder() {
+    ~TemporaryFolder() {
         for (const std::string& file : files)
             ::unlink(file.c_str());
         ::rmdir(path.c_str());
@@ -35,11 +35,11 @@
     std::vector<std::string> files;
 };
 
-const std::string digits(64, 'a');
+const std::string key_digits(64, 'a');
 
-std::string mesh(const std::string& key_file, const std::string& more = "") {
+std::string mesh(const std::string& key_file, const std::string& further_lines = "") {
     return "mesh:\n  listen: 127.0.0.1:7946\n  networks: [127.0.0.0/8]\n  keys:\n    - {id: 7, file: " +
-           key_file + "}\n" + more;
+           key_file + "}\n" + further_lines;
 }
 
 std::vector<Problem> problems_of(const std::string& text) {
@@ -51,20 +51,21 @@
     return {};
 }
 
-TEST_CASE("an empty operators' file turns nothing on") {
+TEST_CASE("an empty operators' file enables no feature") {
     for (const char* text : {"", "# nothing\n", "log:\n  format: text\n"}) {
-        const OperatorConfig site = parse("f.yaml", text);
-        CHECK_FALSE(site.mesh);
-        CHECK_FALSE(site.counts);
-        CHECK(site.log.format == LogFormat::text);
+        const OperatorConfig config = parse("f.yaml", text);
+        CHECK_FALSE(config.mesh);
+        CHECK_FALSE(config.counts);
+        CHECK(config.log.format == LogFormat::text);
     }
 }
 
-// An editor or a copy that is under way: what is left may still be YAML, but hardly ever ends with a line.
-TEST_CASE("a file that is empty, cut short or none is refused in one line") {
-    Folder folder;
-    const std::string path = folder.path + "/site.yaml";
-    const auto first = [](const std::string& file) -> std::string {
+// A file that is read while an editor or a copy is still writing it may be valid YAML, but rarely ends with a
+// newline.
+TEST_CASE("a path that is no regular file and a file that is empty or truncated are rejected in one line") {
+    TemporaryFolder temporary_folder;
+    const std::string path = temporary_folder.path + "/site.yaml";
+    const auto first_problem = [](const std::string& file) -> std::string {
         try {
             read(file);
         } catch (const OperatorConfigError& error) {
@@ -72,99 +73,101 @@
         }
         return "";
     };
-    const auto write = [&](const std::string& text) { folder.write("site.yaml", text); };
-    CHECK(first(folder.path).find("it is a folder") != std::string::npos);
-    CHECK(first("/dev/zero").find("it is no file") != std::string::npos);
+    const auto write = [&](const std::string& text) { temporary_folder.write("site.yaml", text); };
+    CHECK(first_problem(temporary_folder.path).find("it is a folder") != std::string::npos);
+    CHECK(first_problem("/dev/zero").find("it is no file") != std::string::npos);
     write("");
-    CHECK(first(path).find("is empty") != std::string::npos);
-    const std::string whole = "log:\n  level: debug\n  format: json\n";
-    std::size_t unnoticed = 0;
-    for (std::size_t size = 1; size < whole.size(); ++size) {
-        write(whole.substr(0, size));
-        const std::string error = first(path);
+    CHECK(first_problem(path).find("is empty") != std::string::npos);
+    const std::string complete = "log:\n  level: debug\n  format: json\n";
+    std::size_t undetected = 0;
+    for (std::size_t size = 1; size < complete.size(); ++size) {
+        write(complete.substr(0, size));
+        const std::string error = first_problem(path);
         CHECK(error.find('\n') == std::string::npos);
-        unnoticed += error.empty() ? 1 : 0;
+        undetected += error.empty() ? 1 : 0;
     }
-    CHECK(unnoticed == 2); // after a whole line, which nothing but the operators' own eyes can tell
-    write(std::string(10000, '[') + "\n"); // too deep for the stack
-    CHECK_FALSE(first(path).empty());
-    write(whole);
-    CHECK(first(path).empty());
+    CHECK(undetected == 2);                // truncation right after a newline cannot be detected
+    write(std::string(10000, '[') + "\n"); // nested too deeply for a recursive parser
+    CHECK_FALSE(first_problem(path).empty());
+    write(complete);
+    CHECK(first_problem(path).empty());
 }
 
-TEST_CASE("a whole file is read") {
-    Folder folder;
-    const std::string one = folder.write("1.key", digits + "\n"),
-                      two = folder.write("2.key", std::string(64, 'B'));
-    const OperatorConfig site =
+TEST_CASE("a complete file is read") {
+    TemporaryFolder temporary_folder;
+    const std::string first_key = temporary_folder.write("1.key", key_digits + "\n"),
+                      second_key = temporary_folder.write("2.key", std::string(64, 'B'));
+    const OperatorConfig config =
         parse("f.yaml", "instance: a1\nstate_dir: /var/x\nlog: {format: json, level: debug}\n" +
-                            mesh(one, "    - {id: 8, file: " + two +
-                                          "}\n  seal_with: 8\n  seeds: ['127.0.0.2:7946']\n") +
+                            mesh(first_key, "    - {id: 8, file: " + second_key +
+                                                "}\n  seal_with: 8\n  seeds: ['127.0.0.2:7946']\n") +
                             "counts:\n  rate: 50\n  interval: 100ms\n");
-    CHECK(site.instance == "a1");
-    CHECK(site.log.format == LogFormat::json);
-    REQUIRE(site.mesh);
-    REQUIRE(site.mesh->keys.size() == 2);
-    CHECK(site.mesh->keys[0].id == 8); // the one to seal with comes first
-    CHECK(site.mesh->keys[0].secret[0] == 0xbb);
-    CHECK(site.mesh->advertise == site.mesh->listen);
-    CHECK(site.mesh->seeds.size() == 1);
-    CHECK(site.mesh->networks.contains(0x7f000001));
-    CHECK_FALSE(site.mesh->networks.contains(0x80000001));
-    REQUIRE(site.counts);
-    CHECK(site.counts->interval == 100ms);
-    CHECK(site.counts->burst == 50);
+    CHECK(config.instance == "a1");
+    CHECK(config.log.format == LogFormat::json);
+    REQUIRE(config.mesh);
+    REQUIRE(config.mesh->keys.size() == 2);
+    CHECK(config.mesh->keys[0].id == 8); // the key of `seal_with` comes first
+    CHECK(config.mesh->keys[0].secret[0] == 0xbb);
+    CHECK(config.mesh->advertise == config.mesh->listen);
+    CHECK(config.mesh->seeds.size() == 1);
+    CHECK(config.mesh->networks.contains(0x7f000001));
+    CHECK_FALSE(config.mesh->networks.contains(0x80000001));
+    REQUIRE(config.counts);
+    CHECK(config.counts->interval == 100ms);
+    CHECK(config.counts->burst == 50);
 }
 
 TEST_CASE("each error names its line, its key, what was found and what is allowed") {
-    Folder folder;
-    const std::string good = folder.write("1.key", digits), open = folder.write("2.key", digits, 0644),
-                      short_one = folder.write("3.key", "abcd");
+    TemporaryFolder temporary_folder;
+    const std::string valid_key = temporary_folder.write("1.key", key_digits),
+                      readable_key = temporary_folder.write("2.key", key_digits, 0644),
+                      short_key = temporary_folder.write("3.key", "abcd");
     struct Case {
-        std::string text, key, says;
+        std::string text, key, message;
         int line;
     };
     const std::vector<Case> cases{
         {"mesk:\n  listen: x\n", "mesk", "did you mean 'mesh'", 1},
         {"log:\n  format: yaml\n", "log.format", "found 'yaml', allowed: text, json", 2},
         {"log:\n  format: json\n  format: text\n", "log.format", "found twice", 3},
-        {"log: [1]\n", "log", "found a list, wanted a mapping", 1},
+        {"log: [1]\n", "log", "found a list, expected a mapping", 1},
         {"instance: {a: 1}\n", "instance", "found a mapping", 1},
-        {mesh(good, "  probe_period: 1 second\n"), "mesh.probe_period",
-         "found '1 second', allowed: a span from 50ms", 6},
-        {mesh(good, "  probe_timeout: 900ms\n"), "mesh.probe_timeout", "at most half of probe_period (1s)",
-         6},
-        {mesh(good, "  indirect: -1\n"), "mesh.indirect", "a whole number from 0 to 10", 6},
-        {mesh(good, "  indirect: 99999999999999999999\n"), "mesh.indirect", "a whole number from 0 to 10", 6},
-        {mesh(good, "  seal_with: 9\n"), "mesh.seal_with", "allowed: the id of a key above", 6},
-        {mesh(good, "    - {id: 7, file: " + good + "}\n"), "mesh.keys[1].id", "found 7 twice", 6},
-        {mesh(good, "  networks: [10.0.0.1/8]\n"), "mesh.networks", "found twice", 6},
-        {mesh(open), "mesh.keys[0].file", "can be used by others", 5},
-        {mesh(short_one), "mesh.keys[0].file", "64 hexadecimal digits", 5},
-        {mesh(folder.path + "/none"), "mesh.keys[0].file", "No such file", 5},
-        {mesh(folder.path), "mesh.keys[0].file", "not a regular file", 5},
-        {mesh(good, "  seeds: [localhost]\n"), "mesh.seeds", "an IPv4 address and a port", 6},
+        {mesh(valid_key, "  probe_period: 1 second\n"), "mesh.probe_period",
+         "found '1 second', allowed: a duration from 50ms", 6},
+        {mesh(valid_key, "  probe_timeout: 900ms\n"), "mesh.probe_timeout",
+         "at most half of probe_period (1s)", 6},
+        {mesh(valid_key, "  indirect: -1\n"), "mesh.indirect", "a whole number from 0 to 10", 6},
+        {mesh(valid_key, "  indirect: 99999999999999999999\n"), "mesh.indirect",
+         "a whole number from 0 to 10", 6},
+        {mesh(valid_key, "  seal_with: 9\n"), "mesh.seal_with", "allowed: the id of a key above", 6},
+        {mesh(valid_key, "    - {id: 7, file: " + valid_key + "}\n"), "mesh.keys[1].id", "found 7 twice", 6},
+        {mesh(valid_key, "  networks: [10.0.0.1/8]\n"), "mesh.networks", "found twice", 6},
+        {mesh(readable_key), "mesh.keys[0].file", "can be used by others", 5},
+        {mesh(short_key), "mesh.keys[0].file", "64 hexadecimal digits", 5},
+        {mesh(temporary_folder.path + "/none"), "mesh.keys[0].file", "No such file", 5},
+        {mesh(temporary_folder.path), "mesh.keys[0].file", "not a regular file", 5},
+        {mesh(valid_key, "  seeds: [localhost]\n"), "mesh.seeds", "an IPv4 address and a port", 6},
         {"counts:\n  rate: 5\n", "counts", "needs `mesh`", 2},
-        {mesh(good, "counts:\n  interval: 1s\n"), "counts.rate", "missing", 7},
+        {mesh(valid_key, "counts:\n  interval: 1s\n"), "counts.rate", "missing", 7},
         {"mesh:\n  listen: 0.0.0.0:1\n", "mesh.listen", "peers cannot send to", 2},
         {"mesh:\n  listen: 127.0.0.1:0\n", "mesh.advertise", "no port", 2},
-        {"a: [1\n", "", "no YAML", 2},
+        {"a: [1\n", "", "invalid YAML", 2},
     };
-    for (const Case& one : cases) {
-        CAPTURE(one.text);
+    for (const Case& test_case : cases) {
+        CAPTURE(test_case.text);
         bool found = false;
-        std::string all;
-        for (const Problem& problem : problems_of(one.text)) {
-            all += problem.text() + "\n";
-            found = found || (problem.key == one.key && problem.line == one.line &&
-                              problem.message.find(one.says) != std::string::npos);
+        std::string all_problems;
+        for (const Problem& problem : problems_of(test_case.text)) {
+            all_problems += problem.text() + "\n";
+            found = found || (problem.key == test_case.key && problem.line == test_case.line &&
+                              problem.message.find(test_case.message) != std::string::npos);
         }
-        CAPTURE(all);
+        CAPTURE(all_problems);
         CHECK(found);
     }
 }
 
-TEST_CASE("all problems are told at once, in the order of the file") {
+TEST_CASE("all problems are reported at once, in the order of the file") {
     const auto problems = problems_of("log:\n  format: x\n  levle: info\nstate_di: y\n");
     REQUIRE(problems.size() == 3);
     CHECK(problems[0].line == 2);
@@ -173,14 +176,14 @@
     CHECK(std::string(OperatorConfigError(problems).what()).find('\n') == std::string::npos);
 }
 
-TEST_CASE("the secret itself stands in no message") {
-    Folder folder;
-    const std::string file = folder.write("1.key", std::string(62, 'c') + "zz");
+TEST_CASE("no message contains the secret") {
+    TemporaryFolder temporary_folder;
+    const std::string file = temporary_folder.write("1.key", std::string(62, 'c') + "zz");
     for (const Problem& problem : problems_of(mesh(file)))
         CHECK(problem.text().find("cccc") == std::string::npos);
 }
 
-TEST_CASE("networks: the edges, and what is a slip") {
+TEST_CASE("networks: boundaries and invalid texts") {
     AddressSet set;
     CHECK(set.add("10.1.0.0/16"));
     CHECK(set.add("192.168.0.7"));
@@ -196,21 +199,21 @@
     CHECK_FALSE(set.contains(0xc0a80006));
 }
 
-TEST_CASE("spans are read and written alike") {
-    CHECK(to_span("250ms") == 250ms);
-    CHECK(to_span("0s") == 0s);
-    CHECK_FALSE(to_span("5"));
-    CHECK_FALSE(to_span("-5s"));
-    CHECK_FALSE(to_span("1.5s"));
-    CHECK_FALSE(to_span("9999999999999h"));
-    for (const auto span :
+TEST_CASE("formatting a duration and parsing it again gives the same duration") {
+    CHECK(parse_duration("250ms") == 250ms);
+    CHECK(parse_duration("0s") == 0s);
+    CHECK_FALSE(parse_duration("5"));
+    CHECK_FALSE(parse_duration("-5s"));
+    CHECK_FALSE(parse_duration("1.5s"));
+    CHECK_FALSE(parse_duration("9999999999999h"));
+    for (const auto duration :
          {std::chrono::nanoseconds(1500ms), std::chrono::nanoseconds(2h), std::chrono::nanoseconds(7us)})
-        CHECK(to_span(to_text(span)) == span);
+        CHECK(parse_duration(format_duration(duration)) == duration);
 }
 
-TEST_CASE("what a reload cannot take over is named") {
-    Folder folder;
-    const std::string key = folder.write("1.key", digits);
+TEST_CASE("keys that need a restart are named") {
+    TemporaryFolder temporary_folder;
+    const std::string key = temporary_folder.write("1.key", key_digits);
     const OperatorConfig before = parse("f.yaml", mesh(key, "counts:\n  rate: 5\n"));
     CHECK(keys_requiring_restart(
               before, parse("f.yaml", mesh(key, "  bytes_per_second: 20000\ncounts:\n  rate: 5\n")))
