--- a/src/scheduler/discovery_client/discovery_watcher.h
+++ b/src/scheduler/discovery_client/discovery_watcher.h
@@ -1,5 +1,6 @@
-// The standing question to discovery: one call after the other, each from the version that is held. A call
-// that falls silent is broken: discovery is asked beside it, and the first whole answer of any call counts.
+// Watches discovery for changes of the worker list with long polling: one request follows another, each from
+// the version held. If a request is not answered in time, further ones are sent beside it, and the first
+// complete response is used.
 #pragma once
 
 #include "scheduler/core/host.h"
@@ -18,48 +19,51 @@
 
 class DiscoveryWatcher final : public core::WorkerListSource {
   public:
-    using News = std::function<void(willowrill::EndpointListUpdate)>;
+    using UpdateCallback = std::function<void(willowrill::EndpointListUpdate)>;
 
-    // `seed`: for the spread of holds, so that many schedulers don't all ask at one moment.
-    DiscoveryWatcher(net::Loop& loop, net::Endpoint discovery, WatchTimeouts times, std::uint64_t seed,
-                     WorkerRegistry& list, News news);
+    // `seed` seeds the randomized holds, which keep schedulers from sending their requests simultaneously.
+    // `registry` must outlive the watcher. `on_update` receives each update, and one of kind `broken` when
+    // watching has failed.
+    DiscoveryWatcher(net::Loop& loop, net::Endpoint discovery, WatchTimeouts timeouts, std::uint64_t seed,
+                     WorkerRegistry& registry, UpdateCallback on_update);
     ~DiscoveryWatcher() override;
 
+    // Starts or stops watching.
     void watch(bool active) override;
-    // Discovery is at another address from now on. It is asked there at once, for the whole list, as versions
-    // may not go on; a call that this cuts off has not failed.
+    // Moves to another address of discovery and immediately requests the full list there, as its versions may
+    // not continue those held. Requests that this cancels do not count as failed.
     void set_endpoint(const net::Endpoint& discovery);
     const net::Endpoint& discovery() const { return discovery_; }
-    std::uint64_t stall_count() const { return silences_; }
+    std::uint64_t stall_count() const { return stall_count_; }
 
   private:
-    class Call;
-    static constexpr std::size_t most_calls = 3; // out at once: the silent one, and two beside it
+    class Request;
+    static constexpr std::size_t max_requests = 3; // at the same time: the unanswered one and two beside it
 
-    Call& add();
-    void ask(Call& call, net::Duration hold);
-    void answered(Call& call);
-    void failed(Call& call, const char* why); // it has ended, without a list
-    void silent();
-    void drop(Call& call);
-    void hang_up();
-    net::Duration next_hold();
-    double chance() { return static_cast<double>(random_()) / 4294967296.0; } // from 0 to 1
+    Request& add_request();
+    void send_request(Request& request, net::Duration hold);
+    void on_response(Request& request);
+    void on_failure(Request& request, const char* reason); // the request has ended without a list
+    void on_stall();
+    void remove_request(Request& request);
+    void cancel_requests();
+    net::Duration choose_hold();
+    double random_fraction() { return static_cast<double>(random_()) / 4294967296.0; } // from 0 to 1
 
     net::Loop& loop_;
     net::Endpoint discovery_;
-    WatchTimeouts times_;
+    WatchTimeouts timeouts_;
     pcg32 random_;
-    WorkerRegistry& list_;
-    News news_;
-    std::vector<std::shared_ptr<Call>> calls_; // the oldest first, `most_calls` at the most
-    net::Timer silence_;                       // the last call has had its time, or another may go out
+    WorkerRegistry& registry_;
+    UpdateCallback on_update_;
+    std::vector<std::shared_ptr<Request>> requests_; // oldest first, at most `max_requests`
+    net::Timer stall_timer_;                         // the last request is late, or another one may be sent
     bool watching_ = false;
-    bool moved_ = false;  // and has not yet given its list there
-    bool heard_ = false;  // an answer has come in this life: before, the first one is wanted at once
-    bool silent_ = false; // since the last answer
-    int failures_ = 0;    // in a row, of calls made beside a silent one
-    std::uint64_t silences_ = 0;
+    bool endpoint_changed_ = false;  // and no list has been received from the new endpoint yet
+    bool has_received_list_ = false; // since the start; the first request does not ask for a hold
+    bool is_stalled_ = false;        // since the last response
+    int consecutive_failures_ = 0;   // of requests sent beside an unanswered one
+    std::uint64_t stall_count_ = 0;
 };
 
 } // namespace willowrill::discovery_client
--- a/src/scheduler/discovery_client/worker_registry.h
+++ b/src/scheduler/discovery_client/worker_registry.h
@@ -1,4 +1,4 @@
-// The inventory: the workers that discovery has named, and its answers read into the module's news.
+// The workers that discovery has listed, and the parsing of its responses into updates for the dispatcher.
 #pragma once
 
 #include "scheduler/config/settings.h"
@@ -19,12 +19,13 @@
   public:
     explicit WorkerRegistry(config::Names names) : names_(std::move(names)) {}
 
-    // Takes in an answer of discovery. Nonsense changes nothing and gives nothing.
+    // Parses a response of discovery, applies it and returns it as an update for the dispatcher. An invalid
+    // response changes nothing and yields nullopt.
     std::optional<willowrill::EndpointListUpdate> apply_update(std::string_view json);
 
     std::uint64_t version() const { return version_; }
     bool empty() const { return workers_.empty(); }
-    std::size_t listed_count() const; // workers that are in the list now
+    std::size_t listed_count() const; // workers that are ready or draining
     const net::Endpoint& address(willowrill::WorkerId worker) const { return workers_[worker].address; }
     const std::string& id(willowrill::WorkerId worker) const { return workers_[worker].id; }
     const config::Names& names() const { return names_; }
@@ -38,8 +39,8 @@
     };
 
     config::Names names_;
-    std::vector<Worker> workers_; // by WorkerId; a worker keeps its place for good
-    std::unordered_map<std::string, willowrill::WorkerId> ids_;
+    std::vector<Worker> workers_; // indexed by WorkerId; entries are never removed
+    std::unordered_map<std::string, willowrill::WorkerId> worker_ids_;
     std::uint64_t version_ = 0;
 };
 
