--- a/src/scheduler/simulator_adapter/wire.h
+++ b/src/scheduler/simulator_adapter/wire.h
@@ -1,5 +1,5 @@
-// The simulator's wire: one JSON line in, one JSON line out. Translation only; what is decided is decided in
-// the library.
+// The simulator's wire protocol: each request and each reply is one line of JSON. This adapter only
+// translates; all decisions are made by the library.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace willowrill::simulator_adapter {
 
-// The input is not what the wire allows. The text is one plain line.
+// The input violates the protocol. `what()` is one line.
 class WireError : public std::runtime_error {
   public:
     using std::runtime_error::runtime_error;
@@ -19,17 +19,18 @@
 
 class Instance;
 
-// Hosts the instances of one process. They share nothing but this table.
+// Hosts the dispatcher instances of one process. The instances share no state.
 class Host {
   public:
     Host();
     ~Host();
 
-    // Handles one batch and returns its reply, without the line's end. The line is used up. Throws WireError.
+    // Handles one batch and returns its reply without a newline; the reply is valid until the next call.
+    // Parsing modifies `line`. Throws WireError.
     std::string_view handle_line(std::string& line);
 
-    // How many names of jobs and workers are held, over all instances.
-    std::size_t names_held() const;
+    // Returns the number of job and worker names that all instances hold.
+    std::size_t tracked_name_count() const;
 
   private:
     struct Buffers;
