--- a/src/system/budget/cold_budget.cpp
+++ b/src/system/budget/cold_budget.cpp
@@ -21,11 +21,11 @@
     return sends == sends_.end() || sends->second.count(now) < max_sends;
 }
 
-void ColdBudget::note_send(Time now, const std::string& worker) {
+void ColdBudget::record_send(Time now, const std::string& worker) {
     sends_.try_emplace(worker, window).first->second.record(now);
 }
 
-void ColdBudget::sweep(Time now) {
+void ColdBudget::remove_idle_workers(Time now) {
     std::erase_if(sends_, [&](const auto& item) { return item.second.empty_at(now); });
 }
 
--- a/src/system/budget/cold_budget.h
+++ b/src/system/budget/cold_budget.h
@@ -25,9 +25,9 @@
     bool allows(Time now, const std::string& worker, double rate_per_s, std::size_t schedulers,
                 std::size_t rank);
     // A request was sent to the worker.
-    void note_send(Time now, const std::string& worker);
+    void record_send(Time now, const std::string& worker);
     // Forgets workers that nothing was sent to for long.
-    void sweep(Time now);
+    void remove_idle_workers(Time now);
 
   private:
     ColdLimits limits_;
--- a/src/system/budget/retry_budget.cpp
+++ b/src/system/budget/retry_budget.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-bool RetryBudget::take(Time now, std::size_t schedulers) {
+bool RetryBudget::try_acquire(Time now, std::size_t schedulers) {
     const double own_slack = limits_.slack / static_cast<double>(std::max<std::size_t>(1, schedulers));
     const double by_requests = limits_.ratio * static_cast<double>(requests_.count(now));
     const double allowed = used_fraction * (by_requests + own_slack);
--- a/src/system/budget/retry_budget.h
+++ b/src/system/budget/retry_budget.h
@@ -20,9 +20,9 @@
         : limits_(limits), requests_(limits.window), retries_(limits.window) {}
 
     // A client's request has come.
-    void note_request(Time now) { requests_.record(now); }
+    void record_request(Time now) { requests_.record(now); }
     // Takes one retry where the share allows it. `schedulers`: how many share the budget.
-    bool take(Time now, std::size_t schedulers);
+    bool try_acquire(Time now, std::size_t schedulers);
 
   private:
     RetryLimits limits_;
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -145,7 +145,7 @@
 
 void DataPlane::sweep() {
     context_.pool.sweep();
-    context_.cold.sweep(steady_now());
+    context_.cold.remove_idle_workers(steady_now());
 }
 
 // Nobody is served any more and nobody comes, or the platform would end the process.
--- a/src/system/data/load_prober.cpp
+++ b/src/system/data/load_prober.cpp
@@ -35,7 +35,7 @@
 routing::LoadReport unanswered_report(const routing::Worker& worker, routing::Time as_of, bool has_engine) {
     routing::LoadReport out;
     out.as_of = as_of;
-    out.answered = false;
+    out.responsive = false;
     if (!has_engine) out.active = worker.in_flight;
     return out;
 }
--- a/src/system/data/proxied_request.cpp
+++ b/src/system/data/proxied_request.cpp
@@ -38,7 +38,7 @@
         routing_request_.prompt =
             routing::parse_prompt(text(request["Prompt-Prefix"]), text(request["Token-Count"]));
     if (request_.service.has_engine)
-        routing_request_.prefill = &context_.prefill_costs[request_.service.name];
+        routing_request_.prefill_cost = &context_.prefill_costs[request_.service.name];
 }
 
 void ProxiedRequest::client_gone() {
@@ -48,7 +48,7 @@
 
 asio::awaitable<void> ProxiedRequest::run() {
     ++context_.counters.requests;
-    context_.retries(request_.service.name).note_request(steady_now());
+    context_.retries(request_.service.name).record_request(steady_now());
     co_await make_attempts();
     co_await finish();
 }
@@ -92,7 +92,7 @@
 asio::awaitable<void> ProxiedRequest::wait_for_worker() {
     SteadyTimer pause(context_.loop, worker_poll_period);
     co_await pause.async_wait(asio::use_awaitable);
-    routing_request_.tried.clear(); // those that could not be reached may be back
+    routing_request_.tried_workers.clear(); // those that could not be reached may be back
 }
 
 asio::awaitable<AttemptResult> ProxiedRequest::make_attempt(const routing::Selection& selection) {
@@ -103,7 +103,7 @@
     attempt_.reset();
     context_.metrics.add(metrics::Total::attempts, name_of(result));
     request_.retry.note_result(result);
-    routing_request_.tried.insert(worker_id);
+    routing_request_.tried_workers.insert(worker_id);
     const auto found = context_.workers.find(worker_id); // it may have left the list meanwhile
     if (found != context_.workers.end() && !writer_.client_gone()) note_result(found->second, result);
     co_return result;
@@ -113,7 +113,7 @@
     RetryConditions conditions;
     conditions.now = steady_now();
     conditions.schedulers = context_.schedulers;
-    conditions.has_resume_position = !request_.events.last_id().empty();
+    conditions.has_resume_position = !request_.events.last_event_id().empty();
     budget::RetryBudget& budget = context_.retries(request_.service.name);
     return request_.retry.decide(result, conditions, budget) == RetryDecision::allowed;
 }
@@ -139,11 +139,11 @@
 void ProxiedRequest::note_result(routing::Worker& worker, AttemptResult result) {
     switch (result) {
     case AttemptResult::answered:
-        worker.note_success();
+        worker.record_success();
         break;
     case AttemptResult::not_executed:
         ++context_.counters.not_executed;
-        worker.note_full(steady_now());
+        worker.record_rejection(steady_now());
         break;
     case AttemptResult::misdirected:
         ++context_.counters.not_executed;
@@ -151,12 +151,12 @@
         break;
     case AttemptResult::unreachable:
         ++context_.counters.unreachable;
-        worker.note_failure(steady_now());
+        worker.record_failure(steady_now());
         break;
     case AttemptResult::broken:
     case AttemptResult::broken_midway:
         ++context_.counters.broken;
-        worker.note_failure(steady_now());
+        worker.record_failure(steady_now());
         break;
     }
 }
--- a/src/system/data/retry_state.cpp
+++ b/src/system/data/retry_state.cpp
@@ -27,7 +27,7 @@
     if (may_have_run_after(result) && !route_.repeatable()) return RetryDecision::not_repeatable;
     if (result == AttemptResult::broken_midway && !conditions.has_resume_position)
         return RetryDecision::stream_not_resumable;
-    if (!budget.take(conditions.now, conditions.schedulers)) return RetryDecision::budget_exhausted;
+    if (!budget.try_acquire(conditions.now, conditions.schedulers)) return RetryDecision::budget_exhausted;
     return RetryDecision::allowed;
 }
 
--- a/src/system/data/upstream_attempt.cpp
+++ b/src/system/data/upstream_attempt.cpp
@@ -31,10 +31,10 @@
 // Before anything is awaited, so that requests of the same moment see each other.
 void UpstreamAttempt::count_dispatch(const routing::Selection& selection) {
     const configuration::Service& service = request_.service;
-    if (service.has_engine) context_.prefill_costs[service.name].note_dispatch(tokens_to_prefill_);
+    if (service.has_engine) context_.prefill_costs[service.name].record_dispatch(tokens_to_prefill_);
     routing::Worker& worker = *selection.worker;
-    worker.note_dispatch(steady_now(), selection.load_increment);
-    if (worker.warming(steady_now())) context_.cold.note_send(steady_now(), worker.instance.id);
+    worker.record_dispatch(steady_now(), selection.load_increment);
+    if (worker.is_warming(steady_now())) context_.cold.record_send(steady_now(), worker.instance.id);
 }
 
 std::string UpstreamAttempt::request_bytes(const routing::Worker& worker) const {
@@ -42,7 +42,7 @@
     headers.instance_id = worker.instance.id;
     headers.remaining_time = request_.remaining_time();
     if (request_.service.has_engine) headers.priority = std::min(request_.route.priority, lowest_priority);
-    headers.last_event_id = request_.events.last_id();
+    headers.last_event_id = request_.events.last_event_id();
     return upstream_request(request_.request, headers);
 }
 
@@ -170,8 +170,8 @@
                              request_.retry.first_send() ? "first" : "later");
     const configuration::Service& service = request_.service;
     // What crosses regions is on its way for longer than a prompt may take.
-    if (service.has_engine && worker_queue_empty_ && tier_ != routing::Tier::elsewhere)
-        context_.prefill_costs[service.name].note_answer(waited, tokens_to_prefill_);
+    if (service.has_engine && worker_queue_empty_ && tier_ != routing::Tier::other_region)
+        context_.prefill_costs[service.name].record_response_start(waited, tokens_to_prefill_);
 }
 
 } // namespace willowrill::data
--- a/src/system/data/upstream_relay.cpp
+++ b/src/system/data/upstream_relay.cpp
@@ -29,7 +29,7 @@
 }
 
 asio::awaitable<AttemptResult> UpstreamAttempt::relay_stream(WorkerResponse& response) {
-    request_.events.drop_rest();
+    request_.events.discard_partial_event();
     const bool complete = co_await relay_events(response);
     if (complete && !writer_.client_gone()) co_return co_await finish_stream(response);
     drop_connection();
@@ -52,7 +52,7 @@
         if (!timed_out_) writer_.set_client_gone();
         co_return false;
     }
-    const bool all_relayed = request_.events.rest().empty();
+    const bool all_relayed = request_.events.partial_event().empty();
     co_return all_relayed;
 }
 
--- a/src/system/load_reports/load_report_codec.cpp
+++ b/src/system/load_reports/load_report_codec.cpp
@@ -28,7 +28,7 @@
             report.queued,
             report.cache_used,
             report.cache_total,
-            report.answered};
+            report.responsive};
 }
 
 LoadReport decode_report(Time now, const json& entry) {
@@ -38,7 +38,7 @@
     out.queued = entry.at(3).get<std::size_t>();
     out.cache_used = entry.at(4).get<std::uint64_t>();
     out.cache_total = entry.at(5).get<std::uint64_t>();
-    out.answered = entry.at(6).get<bool>();
+    out.responsive = entry.at(6).get<bool>();
     return out;
 }
 
--- a/src/system/load_reports/load_report_publisher.cpp
+++ b/src/system/load_reports/load_report_publisher.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 bool differs_materially(const LoadReport& published, const LoadReport& fresh, std::size_t capacity) {
-    if (published.answered != fresh.answered) return true;
+    if (published.responsive != fresh.responsive) return true;
     if (published.cache_total != fresh.cache_total) return true;
     if (differ_by(published.active + published.queued, fresh.active + fresh.queued,
                   capacity / published_fractions))
--- a/src/system/routing/prefill_cost.cpp
+++ b/src/system/routing/prefill_cost.cpp
@@ -12,11 +12,11 @@
 
 } // namespace
 
-void PrefillCost::note_dispatch(std::uint64_t tokens) {
+void PrefillCost::record_dispatch(std::uint64_t tokens) {
     update_average(sent_tokens_, static_cast<double>(tokens), sent_tokens_ == 0);
 }
 
-void PrefillCost::note_answer(std::chrono::milliseconds wait, std::uint64_t tokens) {
+void PrefillCost::record_response_start(std::chrono::milliseconds wait, std::uint64_t tokens) {
     if (tokens == 0) return;
     update_average(wait_ms_, static_cast<double>(wait.count()), answers_ == 0);
     update_average(prefilled_tokens_, static_cast<double>(tokens), answers_ == 0);
--- a/src/system/routing/prefill_cost.h
+++ b/src/system/routing/prefill_cost.h
@@ -10,9 +10,9 @@
 class PrefillCost {
   public:
     // A request with so many prompt tokens to prefill was sent.
-    void note_dispatch(std::uint64_t tokens);
+    void record_dispatch(std::uint64_t tokens);
     // A request that nothing waited before began its response after `wait`.
-    void note_answer(std::chrono::milliseconds wait, std::uint64_t tokens);
+    void record_response_start(std::chrono::milliseconds wait, std::uint64_t tokens);
 
     // The cost in milliseconds of so many prompt tokens; 0 until enough responses were seen.
     double milliseconds(std::uint64_t tokens) const;
--- a/src/system/routing/routing_request.h
+++ b/src/system/routing/routing_request.h
@@ -17,8 +17,8 @@
     const configuration::Route* route = nullptr;
     const configuration::Service* service = nullptr;
     Prompt prompt;
-    const PrefillCost* prefill = nullptr; // of the service; null where it is not a model's
-    std::set<std::string> tried;          // workers that had this request or could not be reached, by id
+    const PrefillCost* prefill_cost = nullptr; // of the service; null where it is not a model's
+    std::set<std::string> tried_workers;       // workers that had this request or could not be reached, by id
 };
 
 // What else bounds the selection.
--- a/src/system/routing/scoring.cpp
+++ b/src/system/routing/scoring.cpp
@@ -36,7 +36,7 @@
         return "zone";
     case Tier::region:
         return "region";
-    case Tier::elsewhere:
+    case Tier::other_region:
         break;
     }
     return "elsewhere";
@@ -50,7 +50,7 @@
         return has_cache_holder ? without_cache_increment : preferred_increment;
     case Tier::region:
         return has_cache_holder ? without_cache_increment : next_increment;
-    case Tier::elsewhere:
+    case Tier::other_region:
         break;
     }
     return last_resort_increment;
@@ -59,9 +59,9 @@
 double load_for(const RoutingRequest& request, const Worker& worker) {
     const double reported = worker.reported_load();
     const auto target_ms = static_cast<double>(request.route->target.count());
-    if (request.prefill == nullptr || !worker.load_report || target_ms <= 0) return reported;
+    if (request.prefill_cost == nullptr || !worker.load_report || target_ms <= 0) return reported;
     const double wait_ms =
-        static_cast<double>(worker.load_report->queued) * request.prefill->mean_milliseconds();
+        static_cast<double>(worker.load_report->queued) * request.prefill_cost->mean_milliseconds();
     return std::max(reported, std::min(max_waiting_load, wait_ms / target_ms));
 }
 
--- a/src/system/routing/scoring.h
+++ b/src/system/routing/scoring.h
@@ -10,7 +10,7 @@
 namespace willowrill::routing {
 
 // Why a worker is preferred for a request: the order of the tiers' increments.
-enum class Tier { cache_holder, zone, region, elsewhere };
+enum class Tier { cache_holder, zone, region, other_region };
 const char* name_of(Tier tier);
 
 // I. The own zone is preferred where no worker holds parts of the prompt.
--- a/src/system/routing/selector.cpp
+++ b/src/system/routing/selector.cpp
@@ -36,7 +36,7 @@
 bool warming_share_used(Time now, const Worker& worker, const RoutingRequest& request,
                         const SelectionLimits& limits, budget::ColdBudget& cold) {
     const double rate = request.service->cold_rate_per_s;
-    if (!worker.warming(now) || rate <= 0) return false;
+    if (!worker.is_warming(now) || rate <= 0) return false;
     const std::string& id = worker.instance.id;
     return !cold.allows(now, id, rate, limits.schedulers, limits.cold_rank(id));
 }
@@ -63,7 +63,7 @@
     if (instance.service != request.service->name) return false;
     if (instance.state != discovery::InstanceState::in_service) return false;
     if (limits.evacuated != nullptr && limits.evacuated->contains(instance.zone)) return false;
-    if (worker.replaced || request.tried.contains(instance.id)) return false;
+    if (worker.replaced || request.tried_workers.contains(instance.id)) return false;
     const auto& homes = request.route->home_regions;
     return homes.empty() || std::ranges::count(homes, location_.region_of(instance.zone)) > 0;
 }
@@ -107,7 +107,7 @@
 Tier Selector::tier_of(const Worker& worker, const Candidates& candidates) const {
     const bool has_holder = !candidates.cache_holder.empty();
     if (has_holder && worker.instance.id == candidates.cache_holder) return Tier::cache_holder;
-    if (!in_own_region(worker)) return candidates.any_in_own_region ? Tier::elsewhere : Tier::region;
+    if (!in_own_region(worker)) return candidates.any_in_own_region ? Tier::other_region : Tier::region;
     return worker.instance.zone == location_.zone ? Tier::zone : Tier::region;
 }
 
@@ -129,11 +129,11 @@
     Selection best;
     LowestScore lowest(random_);
     for (Worker* worker : candidates.workers) {
-        if (health == Health::required && worker->ejected(now)) {
+        if (health == Health::required && worker->is_ejected(now)) {
             ++skipped.ejected;
             continue;
         }
-        if (health == Health::required && worker->saturated(now)) {
+        if (health == Health::required && worker->is_saturated(now)) {
             ++skipped.saturated;
             continue;
         }
--- a/src/system/routing/selector.h
+++ b/src/system/routing/selector.h
@@ -31,7 +31,7 @@
 struct Selection {
     Worker* worker = nullptr;  // one of the workers given; null: none may have the request
     double load_increment = 0; // what the dispatch adds to X
-    Tier tier = Tier::elsewhere;
+    Tier tier = Tier::other_region;
     std::uint64_t tokens_to_prefill = 0; // as far as the worker is not expected to hold them
     bool queue_empty = false;            // nothing waits at the worker, as far as is known
     SkippedWorkers skipped;
--- a/src/system/routing/worker.cpp
+++ b/src/system/routing/worker.cpp
@@ -40,23 +40,23 @@
         dispatches.pop_front();
 }
 
-void Worker::note_dispatch(Time now, double load_increment) {
+void Worker::record_dispatch(Time now, double load_increment) {
     dispatches.push_back({now, load_increment});
     if (dispatches.size() > max_dispatches) dispatches.pop_front();
 }
 
-void Worker::note_success() {
+void Worker::record_success() {
     failures = 0;
     ejected_until.reset();
 }
 
-void Worker::note_failure(Time now) {
+void Worker::record_failure(Time now) {
     const int doublings = std::min(failures, max_ejection_doublings);
     ejected_until = now + std::min(max_ejection, initial_ejection * (1 << doublings));
     ++failures;
 }
 
-void Worker::note_full(Time now) { saturated_until = now + saturation_time; }
+void Worker::record_rejection(Time now) { saturated_until = now + saturation_time; }
 
 void Worker::extend_warming(Time until) { warming_until = std::max(warming_until.value_or(until), until); }
 
--- a/src/system/routing/worker.h
+++ b/src/system/routing/worker.h
@@ -20,7 +20,7 @@
     std::size_t queued = 0;
     std::uint64_t cache_used = 0;  // tokens
     std::uint64_t cache_total = 0; // tokens; 0: the worker has no cache
-    bool answered = true;          // false: the prober got no answer, several times in a row
+    bool responsive = true;        // false: the prober got no answer, several times in a row
 };
 
 struct Dispatch {
@@ -46,18 +46,20 @@
 
     // An older report than the one known is ignored; a newer one clears what it shows of X.
     void apply_report(const LoadReport& fresh);
-    void note_dispatch(Time now, double load_increment);
-    void note_success();
+    void record_dispatch(Time now, double load_increment);
+    void record_success();
     // Ejects the worker, for longer with each failure in a row.
-    void note_failure(Time now);
+    void record_failure(Time now);
     // The worker rejected a request for want of capacity.
-    void note_full(Time now);
+    void record_rejection(Time now);
     // Warming up lasts until then, or longer where that is known already.
     void extend_warming(Time until);
 
-    bool ejected(Time now) const { return now < ejected_until || (load_report && !load_report->answered); }
-    bool saturated(Time now) const { return now < saturated_until; }
-    bool warming(Time now) const { return now < warming_until; }
+    bool is_ejected(Time now) const {
+        return now < ejected_until || (load_report && !load_report->responsive);
+    }
+    bool is_saturated(Time now) const { return now < saturated_until; }
+    bool is_warming(Time now) const { return now < warming_until; }
 };
 
 } // namespace willowrill::routing
--- a/src/system/stream/event_splitter.h
+++ b/src/system/stream/event_splitter.h
@@ -18,11 +18,11 @@
     // The complete events that have come since the last call; empty where there are none.
     std::string take_events();
     // Bytes after the last complete event.
-    std::string_view rest() const { return rest_; }
+    std::string_view partial_event() const { return rest_; }
     // Forgets a partial event: its stream has broken off.
-    void drop_rest() { rest_.clear(); }
+    void discard_partial_event() { rest_.clear(); }
     // Id of the last complete event taken, empty where none had one.
-    const std::string& last_id() const { return last_id_; }
+    const std::string& last_event_id() const { return last_id_; }
 
   private:
     void record_ids(std::string_view events);
--- a/tests/system/budget/cold_budget_test.cpp
+++ b/tests/system/budget/cold_budget_test.cpp
@@ -22,7 +22,7 @@
             for (int tries = 0; tries < 4; ++tries) {
                 const std::size_t i = random() % schedulers;
                 if (!budgets[i].allows(Time(at), "w", rate, schedulers, i)) continue;
-                budgets[i].note_send(Time(at), "w");
+                budgets[i].record_send(Time(at), "w");
                 arrivals.push_back(Time(at + static_cast<int>(random() % 100))); // the way takes up to 100 ms
             }
         }
--- a/tests/system/budget/retry_budget_test.cpp
+++ b/tests/system/budget/retry_budget_test.cpp
@@ -21,10 +21,10 @@
             RetryBudget& budget = budgets[random() % schedulers];
             const bool rush = at / 10000 % 2 == 0;
             if (rush || random() % 10 == 0) {
-                budget.note_request(Time(at));
+                budget.record_request(Time(at));
                 requests.push_back(Time(at));
             }
-            if (budget.take(Time(at), schedulers))
+            if (budget.try_acquire(Time(at), schedulers))
                 retries.push_back(Time(at)); // everything fails all the time
         }
         for (const Time end : retries) {
@@ -43,8 +43,8 @@
     RetryBudget budget({0, 20, Time(1000)});
     int taken = 0;
     for (int i = 0; i < 100; ++i)
-        taken += budget.take(Time(0), 2) ? 1 : 0;
+        taken += budget.try_acquire(Time(0), 2) ? 1 : 0;
     cr_assert_eq(taken, 7); // 0.7 x 20 / 2
-    cr_assert_not(budget.take(Time(1000), 2));
-    cr_assert(budget.take(Time(1001), 2));
+    cr_assert_not(budget.try_acquire(Time(1000), 2));
+    cr_assert(budget.try_acquire(Time(1001), 2));
 }
--- a/tests/system/data/retry_state_test.cpp
+++ b/tests/system/data/retry_state_test.cpp
@@ -121,7 +121,7 @@
     Request request(route_of(RouteClass::non_idempotent, 2), 1);
     budget::RetryBudget untouched({0, 1, Time(10000)});
     cr_assert(request.send_and_decide(AttemptResult::broken) == RetryDecision::not_repeatable);
-    cr_assert_eq(request.budget.take(in_time, 1), untouched.take(in_time, 1));
+    cr_assert_eq(request.budget.try_acquire(in_time, 1), untouched.try_acquire(in_time, 1));
 }
 
 Test(retry_state, nothing_is_sent_once_the_response_is_due) {
--- a/tests/system/load_reports/load_report_feed_test.cpp
+++ b/tests/system/load_reports/load_report_feed_test.cpp
@@ -90,8 +90,8 @@
     for (int at = 1000; at < 10'000; at += 400) {
         for (auto& [id, worker] : home)
             worker.apply_report(report(at - 100, 5));
-        near.at("i-7").note_dispatch(Time(at - 150), 0.1);
-        near.at("i-7").note_dispatch(Time(at - 50), 0.1);
+        near.at("i-7").record_dispatch(Time(at - 150), 0.1);
+        near.at("i-7").record_dispatch(Time(at - 50), 0.1);
         const LoadReportUpdate update = publisher.delta(Time(at), "s", views(home));
         subscriber.apply(update, near);
         if (at > 1000) cr_assert_lt(encode(update, Time(at)).dump().size(), 70U);
@@ -113,10 +113,10 @@
     cr_assert(near.at("i-1").load_report->as_of <= Time(1000));
     LoadReport dead = *home.at("i-1").load_report;
     dead.as_of = Time(4000);
-    dead.answered = false;
+    dead.responsive = false;
     home.at("i-1").apply_report(dead);
     subscriber.apply(publisher.delta(Time(4000), "s", views(home)), near);
-    cr_assert_not(near.at("i-1").load_report->answered);
+    cr_assert_not(near.at("i-1").load_report->responsive);
 }
 
 // A report may come before the list that names its worker; that of a removed worker is forgotten.
--- a/tests/system/load_reports/worker_report_test.cpp
+++ b/tests/system/load_reports/worker_report_test.cpp
@@ -16,7 +16,7 @@
     cr_assert_eq(report->queued, 2U);
     cr_assert_eq(report->cache_used, 700U);
     cr_assert_eq(report->cache_total, 1000U);
-    cr_assert(report->answered);
+    cr_assert(report->responsive);
 }
 
 Test(worker_report, a_report_without_a_cache_counts_none) {
--- a/tests/system/routing/prefill_cost_test.cpp
+++ b/tests/system/routing/prefill_cost_test.cpp
@@ -9,7 +9,7 @@
     PrefillCost cost;
     cr_assert_eq(cost.milliseconds(1'000'000), 0);
     for (int i = 0; i < 100; ++i)
-        cost.note_answer(std::chrono::milliseconds(100), 0);
+        cost.record_response_start(std::chrono::milliseconds(100), 0);
     cr_assert_eq(cost.milliseconds(1'000'000), 0);
     cr_assert_eq(cost.mean_milliseconds(), 0);
 }
--- a/tests/system/routing/selector_test.cpp
+++ b/tests/system/routing/selector_test.cpp
@@ -33,11 +33,11 @@
     scene.add("a", "north-a").apply_report(waiting);
     scene.add("b", "north-a").apply_report(report(900, 3));
     PrefillCost prefill;
-    scene.request.prefill = &prefill;
+    scene.request.prefill_cost = &prefill;
     expect_text(scene.choose(), "a", "nothing is learned yet");
     for (int i = 0; i < 20; ++i) {
-        prefill.note_dispatch(1000);
-        prefill.note_answer(std::chrono::milliseconds(200), 1000);
+        prefill.record_dispatch(1000);
+        prefill.record_response_start(std::chrono::milliseconds(200), 1000);
     }
     cr_assert_float_eq(prefill.milliseconds(500), 100, 1);
     expect_text(scene.choose(), "b", "two prompts of 0.2 s against three places of ten");
@@ -52,8 +52,8 @@
     cr_assert_eq(scene.request.prompt.input_tokens, 4000U);
     PrefillCost prefill;
     for (int i = 0; i < 20; ++i)
-        prefill.note_answer(std::chrono::milliseconds(100), 1000);
-    scene.request.prefill = &prefill;
+        prefill.record_response_start(std::chrono::milliseconds(100), 1000);
+    scene.request.prefill_cost = &prefill;
     scene.add("a", "north-a").apply_report(report(900, 0));
     const Selection holder =
         scene.selector.choose(Time(1000), scene.workers, scene.request, scene.limits, scene.cold);
@@ -61,7 +61,7 @@
     cr_assert_eq(holder.tokens_to_prefill, 1000U);
     cr_assert(holder.queue_empty);
     // 200 ms of waiting at the holder, then 600, against none at another.
-    prefill.note_dispatch(1000);
+    prefill.record_dispatch(1000);
     LoadReport waiting = report(950, 0);
     scene.add("b", "north-a").apply_report(report(950, 0));
     const std::string cached_at = scene.choose();
@@ -119,7 +119,7 @@
     Scene scene;
     scene.add("a", "north-a").apply_report(report(900, 0));
     scene.add("b", "north-a").apply_report(report(900, 1));
-    scene.workers["a"].note_dispatch(Time(950), 0.2);
+    scene.workers["a"].record_dispatch(Time(950), 0.2);
     expect_text(scene.choose().c_str(), "b");
     scene.workers["a"].apply_report(report(940, 0)); // from before the dispatch
     expect_text(scene.choose().c_str(), "b");
@@ -174,9 +174,9 @@
         for (int i = 0; i < 8; ++i) {
             Worker& worker = scene.add("w" + std::to_string(i), zones[random() % 3]);
             worker.apply_report(report(900, random() % 15));
-            if (random() % 4 == 0) worker.note_dispatch(Time(950), 0.1 * static_cast<double>(random() % 5));
+            if (random() % 4 == 0) worker.record_dispatch(Time(950), 0.1 * static_cast<double>(random() % 5));
             if (random() % 5 == 0) worker.instance.state = discovery::InstanceState::draining;
-            if (random() % 5 == 0) scene.request.tried.insert(worker.instance.id);
+            if (random() % 5 == 0) scene.request.tried_workers.insert(worker.instance.id);
         }
         if (random() % 2 == 0) scene.route.home_regions = {"north"};
         if (random() % 4 == 0) scene.evacuated = {"north-b"};
@@ -185,7 +185,7 @@
         for (const auto& [id, worker] : scene.workers) {
             const std::string& zone = worker.instance.zone;
             if (worker.instance.state == discovery::InstanceState::draining) continue;
-            if (scene.request.tried.contains(id) || scene.evacuated.contains(zone)) continue;
+            if (scene.request.tried_workers.contains(id) || scene.evacuated.contains(zone)) continue;
             if (!scene.route.home_regions.empty() && zone == "south-a") continue;
             const double tier = zone == "north-a" ? 0.1 : zone == "north-b" ? 0.2 : 1.0;
             sums[id] =
@@ -203,13 +203,13 @@
     Scene scene;
     scene.add("a", "north-a").apply_report(report(900, 0));
     scene.add("b", "north-a").apply_report(report(900, 9));
-    scene.workers["a"].note_failure(Time(1000));
+    scene.workers["a"].record_failure(Time(1000));
     expect_text(scene.choose(1001).c_str(), "b");
-    scene.workers["b"].note_full(Time(1001));
+    scene.workers["b"].record_rejection(Time(1001));
     expect_other_text(scene.choose(1002).c_str(), "", "whoever is left is better than nobody");
     expect_text(scene.choose(1600).c_str(), "a", "and its ejection ends");
-    scene.workers["a"].note_success();
-    cr_assert_not(scene.workers["a"].ejected(Time(1001)));
+    scene.workers["a"].record_success();
+    cr_assert_not(scene.workers["a"].is_ejected(Time(1001)));
 }
 
 Test(selector, a_worker_that_warms_up_gets_its_share_alone) {
@@ -218,7 +218,7 @@
     scene.add("cold", "north-a").warming_until = Time(5000);
     scene.limits.schedulers = 12;
     expect_text(scene.choose(1000).c_str(), "cold");
-    scene.cold.note_send(Time(1000), "cold");
+    scene.cold.record_send(Time(1000), "cold");
     expect_text(scene.choose(1500).c_str(), "");
     expect_text(scene.choose(2300).c_str(), "cold");
     expect_text(scene.choose(5000).c_str(), "cold", "and warmed up it is bounded no more");
--- a/tests/system/stream/event_splitter_test.cpp
+++ b/tests/system/stream/event_splitter_test.cpp
@@ -23,8 +23,8 @@
             at += size;
         }
         expect_text(out.c_str(), all.c_str());
-        expect_text(splitter.last_id().c_str(), "3");
-        cr_assert(splitter.rest().empty());
+        expect_text(splitter.last_event_id().c_str(), "3");
+        cr_assert(splitter.partial_event().empty());
     }
 }
 
@@ -41,11 +41,11 @@
         for (std::size_t at = all.find("\n\n"); at != std::string::npos && at + 2 <= cut;
              at = all.find("\n\n", at + 2))
             ++whole;
-        expect_text(splitter.last_id().c_str(), whole == 0 ? "" : std::to_string(whole).c_str(),
+        expect_text(splitter.last_event_id().c_str(), whole == 0 ? "" : std::to_string(whole).c_str(),
                     "cut at " + std::to_string(cut));
         cr_assert(out.empty() || out.ends_with("\n\n"));
-        splitter.drop_rest();
-        cr_assert(splitter.rest().empty());
+        splitter.discard_partial_event();
+        cr_assert(splitter.partial_event().empty());
     }
 }
 
