--- a/src/system/budget/retry_budget.h
+++ b/src/system/budget/retry_budget.h
@@ -1,5 +1,4 @@
-// This scheduler's share of a service's retry budget, which all schedulers spend together: in every window,
-// retries over all of them stay under `ratio` x requests + `slack`. Pure; one thread.
+// Limits the retries of a service that this scheduler sends.
 #pragma once
 
 #include "system/budget/sliding_window.h"
@@ -8,21 +7,24 @@
 
 namespace willowrill::budget {
 
+// In every window, the retries of all schedulers together must stay below `ratio` x requests + `slack`.
 struct RetryLimits {
-    double ratio = 0.2; // retries to requests
-    double slack = 0;   // retries, over all schedulers
+    double ratio = 0.2; // retries per request
+    double slack = 0;   // retries, shared by all schedulers
     Time window{10000};
 };
 
+// This scheduler's share of a service's retry budget. Not thread-safe.
 class RetryBudget {
   public:
     explicit RetryBudget(RetryLimits limits)
         : limits_(limits), requests_(limits.window), retries_(limits.window) {}
 
-    // A client's request has come.
+    // Records the arrival of a client request.
     void record_request(Time now) { requests_.record(now); }
-    // Takes one retry where the share allows it. `schedulers`: how many share the budget.
-    bool try_acquire(Time now, std::size_t schedulers);
+    // Takes one retry from the budget. Returns false, and takes none, if this scheduler's share is used up.
+    // `scheduler_count`: schedulers that share the budget.
+    bool try_acquire(Time now, std::size_t scheduler_count);
 
   private:
     RetryLimits limits_;
--- a/src/system/budget/sliding_window.h
+++ b/src/system/budget/sliding_window.h
@@ -1,4 +1,4 @@
-// Counts events of the recent past. Pure; one thread.
+// Counts the events of a recent period of time.
 #pragma once
 
 #include <chrono>
@@ -7,34 +7,34 @@
 
 namespace willowrill::budget {
 
-using Time = std::chrono::milliseconds; // steady
+using Time = std::chrono::milliseconds; // of the steady clock
 
-// Bounded by the events that come within one window.
+// Keeps the time of each event in the window, so its memory is bounded by the number of events within one
+// window. Times must not decrease from call to call. Not thread-safe.
 class SlidingWindow {
   public:
     explicit SlidingWindow(Time length) : length_(length) {}
 
-    // Times must not go back from call to call.
     void record(Time now) {
-        forget_older(now);
-        times_.push_back(now);
+        remove_expired(now);
+        event_times_.push_back(now);
     }
-    // Events from `length` before `now` on, both ends included.
+    // Returns the number of events from `now` minus the window length up to `now`, both inclusive.
     std::size_t count(Time now) {
-        forget_older(now);
-        return times_.size();
+        remove_expired(now);
+        return event_times_.size();
     }
-    // Whether the window that ends `now` has no event.
-    bool empty_at(Time now) const { return times_.empty() || now - times_.back() > length_; }
+    // Returns whether the window that ends at `now` contains no event.
+    bool empty_at(Time now) const { return event_times_.empty() || now - event_times_.back() > length_; }
 
   private:
-    void forget_older(Time now) {
-        while (!times_.empty() && now - times_.front() > length_)
-            times_.pop_front();
+    void remove_expired(Time now) {
+        while (!event_times_.empty() && now - event_times_.front() > length_)
+            event_times_.pop_front();
     }
 
     Time length_;
-    std::deque<Time> times_; // oldest first
+    std::deque<Time> event_times_; // oldest first
 };
 
 } // namespace willowrill::budget
--- a/tests/system/budget/count_within.h
+++ b/tests/system/budget/count_within.h
@@ -1,4 +1,4 @@
-// A plain model of a window of time.
+// Reference implementation of a sliding window for the budget tests.
 #pragma once
 
 #include "system/budget/sliding_window.h"
@@ -9,10 +9,10 @@
 
 namespace willowrill::budget {
 
-// Times after `from`, up to `to`.
-inline std::size_t count_within(const std::vector<Time>& times, Time from, Time to) {
+// Returns the number of times after `start`, up to and including `end`.
+inline std::size_t count_within(const std::vector<Time>& times, Time start, Time end) {
     return static_cast<std::size_t>(
-        std::ranges::count_if(times, [&](Time at) { return at > from && at <= to; }));
+        std::ranges::count_if(times, [&](Time time) { return time > start && time <= end; }));
 }
 
 } // namespace willowrill::budget
--- a/tests/system/budget/sliding_window_test.cpp
+++ b/tests/system/budget/sliding_window_test.cpp
@@ -1,11 +1,11 @@
-// Events within a window of time.
+// Tests the sliding window that counts events.
 #include "system/budget/sliding_window.h"
 
 #include <criterion/criterion.h>
 
 using namespace willowrill::budget;
 
-Test(sliding_window, an_event_counts_until_the_window_has_passed) {
+Test(sliding_window, an_event_counts_until_it_is_older_than_the_window) {
     SlidingWindow window(Time(100));
     cr_assert_eq(window.count(Time(0)), 0U);
     window.record(Time(10));
