--- a/src/system/load_reports/load_report_messages.h
+++ b/src/system/load_reports/load_report_messages.h
@@ -1,5 +1,5 @@
-// The messages by which schedulers pass load reports on, as types. How they look on a connection is known to
-// load_report_codec.h alone. Pure values; times are those of the process that holds the message.
+// The messages with which schedulers exchange load reports. Times are those of the steady clock of the
+// process that holds the message; load_report_codec.h defines the encoding.
 #pragma once
 
 #include "system/protocol/negotiation.h"
@@ -12,10 +12,10 @@
 
 namespace willowrill::load_reports {
 
-// Which load reports a subscriber asks for.
+// The load reports that a subscriber asks for.
 enum class ReportScope {
-    probed_here, // of the workers that the publisher probes itself: for home schedulers of other zones
-    all_zones    // of every worker that the publisher knows: for schedulers of its own zone
+    probed_here, // of the workers that the publisher probes itself; for home schedulers of other zones
+    all_zones    // of every worker that the publisher knows; for schedulers of the publisher's zone
 };
 
 // Opens a subscription. Sent once, as the first message on a connection.
@@ -23,25 +23,24 @@
     protocol::Greeting greeting;
     std::string service;
     ReportScope scope = ReportScope::all_zones;
-    // Where the subscriber is; empty where it did not say.
+    // Location of the subscriber; empty if it sent none.
     std::string zone;
     std::string region;
 };
 
-// Answers a request with whose sender no subscription can be had; the publisher closes the connection behind
-// it.
+// Refuses a subscribe request. The publisher closes the connection after sending it.
 struct SubscribeRefusal {
     std::string detail; // a sentence for the operator
 };
 
-// A snapshot of what subscribers know, or a delta to it. Workers are named by instance id.
+// A snapshot of the published load reports, or a delta to them. Workers are identified by instance id.
 struct LoadReportUpdate {
     std::string service;
     std::map<std::string, routing::LoadReport> reports; // new or materially different
-    // The reports published earlier that are not in `reports` nor `stale` still hold, as of this time.
+    // Reports published earlier that are neither in `reports` nor in `stale` are still valid as of this time.
     std::optional<routing::Time> unchanged_as_of;
     std::set<std::string> removed; // no longer published
-    std::set<std::string> stale;   // not confirmed: their newest report is old
+    std::set<std::string> stale;   // not confirmed, because their latest report is old
 };
 
 } // namespace willowrill::load_reports
--- a/src/system/load_reports/load_report_publisher.cpp
+++ b/src/system/load_reports/load_report_publisher.cpp
@@ -9,12 +9,13 @@
 using routing::LoadReport;
 using routing::Time;
 
-// Of the capacity or of the cache: smaller differences of load change no selection worth the bytes.
-constexpr std::size_t published_fractions = 32;
-// A report older than that is not confirmed together with the others: its worker may have gone silent.
+// A load that differs by at least 1/32 of the capacity or of the cache is published again. Smaller
+// differences change no selection enough to be worth the bandwidth.
+constexpr std::size_t material_difference_divisor = 32;
+// An older report is not confirmed together with the others, because its worker may have stopped responding.
 constexpr Time max_confirmed_age{1000};
 
-bool differ_by(std::uint64_t a, std::uint64_t b, std::uint64_t threshold) {
+bool differ_by_at_least(std::uint64_t a, std::uint64_t b, std::uint64_t threshold) {
     const std::uint64_t difference = a > b ? a - b : b - a;
     return difference >= std::max<std::uint64_t>(1, threshold);
 }
@@ -24,11 +25,11 @@
 bool differs_materially(const LoadReport& published, const LoadReport& fresh, std::size_t capacity) {
     if (published.responsive != fresh.responsive) return true;
     if (published.cache_total != fresh.cache_total) return true;
-    if (differ_by(published.active + published.queued, fresh.active + fresh.queued,
-                  capacity / published_fractions))
+    if (differ_by_at_least(published.active + published.queued, fresh.active + fresh.queued,
+                           capacity / material_difference_divisor))
         return true;
-    return fresh.cache_total > 0 &&
-           differ_by(published.cache_used, fresh.cache_used, fresh.cache_total / published_fractions);
+    return fresh.cache_total > 0 && differ_by_at_least(published.cache_used, fresh.cache_used,
+                                                       fresh.cache_total / material_difference_divisor);
 }
 
 LoadReportUpdate LoadReportPublisher::delta(Time now, const std::string& service,
@@ -37,7 +38,7 @@
     update.service = service;
     remove_unlisted(workers, update);
     for (const auto& [id, worker] : workers) {
-        if (!worker->load_report || confirm(now, id, *worker, update)) continue;
+        if (!worker->load_report || confirm_if_unchanged(now, id, *worker, update)) continue;
         published_[id] = *worker->load_report;
         update.reports[id] = *worker->load_report;
     }
@@ -46,22 +47,22 @@
 
 void LoadReportPublisher::remove_unlisted(const std::map<std::string, const routing::Worker*>& workers,
                                           LoadReportUpdate& update) {
-    std::erase_if(published_, [&](const auto& item) {
-        if (workers.contains(item.first)) return false;
-        update.removed.insert(item.first);
+    std::erase_if(published_, [&](const auto& entry) {
+        if (workers.contains(entry.first)) return false;
+        update.removed.insert(entry.first);
         return true;
     });
 }
 
-bool LoadReportPublisher::confirm(Time now, const std::string& id, const routing::Worker& worker,
-                                  LoadReportUpdate& update) {
+bool LoadReportPublisher::confirm_if_unchanged(Time now, const std::string& instance_id,
+                                               const routing::Worker& worker, LoadReportUpdate& update) {
     const LoadReport& fresh = *worker.load_report;
-    const auto published = published_.find(id);
+    const auto published = published_.find(instance_id);
     if (published == published_.end()) return false;
     if (differs_materially(published->second, fresh, worker.instance.capacity)) return false;
     published->second.as_of = fresh.as_of;
     if (now - fresh.as_of > max_confirmed_age)
-        update.stale.insert(id);
+        update.stale.insert(instance_id);
     else
         update.unchanged_as_of = std::min(update.unchanged_as_of.value_or(fresh.as_of), fresh.as_of);
     return true;
--- a/src/system/load_reports/load_report_subscriber.h
+++ b/src/system/load_reports/load_report_subscriber.h
@@ -1,4 +1,4 @@
-// The receiving end of load reports between schedulers. Pure; one thread.
+// Receives load reports from another scheduler.
 #pragma once
 
 #include "system/load_reports/load_report_messages.h"
@@ -13,16 +13,16 @@
 
 inline constexpr std::size_t max_published_workers = 65536;
 
-// What one publisher has published on one connection. A new connection needs a new subscriber: its first
-// update is a snapshot.
+// The reports published by one publisher on one connection. Each connection needs a new subscriber, because
+// its first update is a snapshot. Not thread-safe.
 class LoadReportSubscriber {
   public:
-    // Gives the reports to the workers known here. Those of workers that are not known yet are kept for when
-    // they are.
+    // Applies an update and passes the reports on to `workers`. Reports of workers that are not in `workers`
+    // yet are kept and passed on by a later call.
     void apply(const LoadReportUpdate& update, routing::Workers& workers);
 
   private:
-    std::map<std::string, routing::LoadReport> published_; // by instance id, at most `max_published_workers`
+    std::map<std::string, routing::LoadReport> published_; // by instance id; up to `max_published_workers`
 };
 
 } // namespace willowrill::load_reports
--- a/src/system/load_reports/worker_report.h
+++ b/src/system/load_reports/worker_report.h
@@ -1,4 +1,4 @@
-// A worker's own account of its load, as it answers a load probe. Pure.
+// Parses the load report in a worker's response to a load probe.
 #pragma once
 
 #include "system/routing/worker.h"
@@ -8,8 +8,8 @@
 
 namespace willowrill::load_reports {
 
-// The load report in the body of a probe's response; empty where the body makes no sense. `as_of`: the steady
-// time that the report stands for.
+// Parses the body of a probe response; returns nothing if it is malformed. `as_of`: the steady time up to
+// which dispatches to the worker are included in the report.
 std::optional<routing::LoadReport> parse_worker_report(std::string_view body, routing::Time as_of);
 
 } // namespace willowrill::load_reports
--- a/tests/system/load_reports/load_report_feed_test.cpp
+++ b/tests/system/load_reports/load_report_feed_test.cpp
@@ -1,5 +1,4 @@
-// Load reports from a publisher to its subscribers: what subscribers come to know, against the reports
-// themselves.
+// Tests that subscribers of a load report publisher know the published reports.
 #include "system/load_reports/load_report_codec.h"
 #include "system/load_reports/load_report_publisher.h"
 #include "system/load_reports/load_report_subscriber.h"
@@ -25,136 +24,147 @@
 
 constexpr std::size_t capacity = 128;
 
-Workers some_workers(int count) {
-    Workers out;
+Workers make_workers(int count) {
+    Workers workers;
     for (int i = 0; i < count; ++i) {
-        Worker& worker = out[fmt::format("i-{}", i)];
+        Worker& worker = workers[fmt::format("i-{}", i)];
         worker.instance.id = fmt::format("i-{}", i);
         worker.instance.capacity = capacity;
     }
-    return out;
+    return workers;
 }
 
-std::map<std::string, const Worker*> views(const Workers& workers) {
-    std::map<std::string, const Worker*> out;
+std::map<std::string, const Worker*> worker_pointers(const Workers& workers) {
+    std::map<std::string, const Worker*> pointers;
     for (const auto& [id, worker] : workers)
-        out[id] = &worker;
-    return out;
+        pointers[id] = &worker;
+    return pointers;
 }
 
-LoadReport report(int at, std::size_t active) {
-    LoadReport out;
-    out.as_of = Time(at);
-    out.active = active;
-    out.cache_total = 1000;
-    return out;
+LoadReport make_report(int as_of_ms, std::size_t active) {
+    LoadReport report;
+    report.as_of = Time(as_of_ms);
+    report.active = active;
+    report.cache_total = 1000;
+    return report;
 }
 
 } // namespace
 
-// Random walks of load at sixty workers, a second subscriber that subscribes in the middle.
-Test(load_report_feed, subscribers_stay_within_the_published_difference) {
+// The load of sixty workers follows random walks. A second subscriber joins after 20 s.
+Test(load_report_feed, subscribers_know_every_material_difference) {
     std::mt19937_64 random(2);
-    Workers home = some_workers(60), near = some_workers(60), later = some_workers(60);
+    Workers publisher_workers = make_workers(60), subscriber_workers = make_workers(60),
+            late_subscriber_workers = make_workers(60);
     LoadReportPublisher publisher;
     LoadReportSubscriber subscriber, late_subscriber;
-    for (int at = 0; at < 60'000; at += 200) {
-        for (auto& [id, worker] : home) {
+    for (int now_ms = 0; now_ms < 60'000; now_ms += 200) {
+        for (auto& [id, worker] : publisher_workers) {
             if (random() % 2 == 0) continue;
-            const std::size_t before = worker.load_report ? worker.load_report->active : 20;
-            worker.apply_report(report(at, std::min<std::size_t>(capacity, before + random() % 3)));
-            if (random() % 8 == 0) worker.apply_report(report(at + 1, random() % capacity));
+            const std::size_t previous_active = worker.load_report ? worker.load_report->active : 20;
+            worker.apply_report(
+                make_report(now_ms, std::min<std::size_t>(capacity, previous_active + random() % 3)));
+            if (random() % 8 == 0) worker.apply_report(make_report(now_ms + 1, random() % capacity));
         }
-        const LoadReportUpdate update = publisher.delta(Time(at), "s", views(home));
-        if (at == 20'000) late_subscriber.apply(publisher.snapshot("s"), later);
-        subscriber.apply(update, near);
-        if (at > 20'000) late_subscriber.apply(update, later);
-        for (const auto& [id, worker] : home) {
+        const LoadReportUpdate update =
+            publisher.delta(Time(now_ms), "s", worker_pointers(publisher_workers));
+        if (now_ms == 20'000) late_subscriber.apply(publisher.snapshot("s"), late_subscriber_workers);
+        subscriber.apply(update, subscriber_workers);
+        if (now_ms > 20'000) late_subscriber.apply(update, late_subscriber_workers);
+        for (const auto& [id, worker] : publisher_workers) {
             if (!worker.load_report) continue;
-            const LoadReport& truth = *worker.load_report;
-            cr_assert(near.at(id).load_report.has_value());
-            const LoadReport& known = *near.at(id).load_report;
-            cr_assert_not(load_reports::differs_materially(known, truth, capacity), "%s at %d", id.c_str(),
-                          at);
-            cr_assert(known.as_of <= truth.as_of || truth.as_of < Time(at) - Time(1000));
-            if (at > 20'000) cr_assert_eq(later.at(id).load_report->active, known.active);
+            const LoadReport& current = *worker.load_report;
+            cr_assert(subscriber_workers.at(id).load_report.has_value());
+            const LoadReport& received = *subscriber_workers.at(id).load_report;
+            cr_assert_not(load_reports::differs_materially(received, current, capacity), "%s at %d",
+                          id.c_str(), now_ms);
+            cr_assert(received.as_of <= current.as_of || current.as_of < Time(now_ms) - Time(1000));
+            if (now_ms > 20'000)
+                cr_assert_eq(late_subscriber_workers.at(id).load_report->active, received.active);
         }
     }
 }
 
-// While nothing differs an update only confirms, and clears what was dispatched before.
-Test(load_report_feed, an_update_without_differences_is_short_and_clears_older_dispatches) {
-    Workers home = some_workers(60), near = some_workers(60);
+// Without material differences an update only confirms the reports, which clears the dispatches before it.
+Test(load_report_feed, an_update_without_differences_is_small_and_clears_older_dispatches) {
+    Workers publisher_workers = make_workers(60), subscriber_workers = make_workers(60);
     LoadReportPublisher publisher;
     LoadReportSubscriber subscriber;
-    for (int at = 1000; at < 10'000; at += 400) {
-        for (auto& [id, worker] : home)
-            worker.apply_report(report(at - 100, 5));
-        near.at("i-7").record_dispatch(Time(at - 150), 0.1);
-        near.at("i-7").record_dispatch(Time(at - 50), 0.1);
-        const LoadReportUpdate update = publisher.delta(Time(at), "s", views(home));
-        subscriber.apply(update, near);
-        if (at > 1000) cr_assert_lt(encode(update, Time(at)).dump().size(), 70U);
-        cr_assert_eq(near.at("i-7").dispatches.size(), 1U, "at %d", at);
+    for (int now_ms = 1000; now_ms < 10'000; now_ms += 400) {
+        for (auto& [id, worker] : publisher_workers)
+            worker.apply_report(make_report(now_ms - 100, 5));
+        subscriber_workers.at("i-7").record_dispatch(Time(now_ms - 150), 0.1);
+        subscriber_workers.at("i-7").record_dispatch(Time(now_ms - 50), 0.1);
+        const LoadReportUpdate update =
+            publisher.delta(Time(now_ms), "s", worker_pointers(publisher_workers));
+        subscriber.apply(update, subscriber_workers);
+        if (now_ms > 1000) cr_assert_lt(encode(update, Time(now_ms)).dump().size(), 70U);
+        cr_assert_eq(subscriber_workers.at("i-7").dispatches.size(), 1U, "at %d", now_ms);
     }
 }
 
-// A worker whose probes are not answered any more neither ages the others nor passes for fresh with them.
-Test(load_report_feed, a_silent_worker_is_not_confirmed_with_the_others) {
-    Workers home = some_workers(3), near = some_workers(3);
+// A worker that stops answering probes must not make the reports of the others look old, nor appear as recent
+// as they are.
+Test(load_report_feed, an_unresponsive_worker_is_not_confirmed_with_the_others) {
+    Workers publisher_workers = make_workers(3), subscriber_workers = make_workers(3);
     LoadReportPublisher publisher;
     LoadReportSubscriber subscriber;
-    for (int at = 0; at < 4000; at += 200) {
-        for (auto& [id, worker] : home)
-            if (id != "i-1" || at == 0) worker.apply_report(report(at, 5));
-        subscriber.apply(publisher.delta(Time(at), "s", views(home)), near);
+    for (int now_ms = 0; now_ms < 4000; now_ms += 200) {
+        for (auto& [id, worker] : publisher_workers)
+            if (id != "i-1" || now_ms == 0) worker.apply_report(make_report(now_ms, 5));
+        subscriber.apply(publisher.delta(Time(now_ms), "s", worker_pointers(publisher_workers)),
+                         subscriber_workers);
     }
-    cr_assert(near.at("i-0").load_report->as_of >= Time(3800));
-    cr_assert(near.at("i-1").load_report->as_of <= Time(1000));
-    LoadReport dead = *home.at("i-1").load_report;
-    dead.as_of = Time(4000);
-    dead.responsive = false;
-    home.at("i-1").apply_report(dead);
-    subscriber.apply(publisher.delta(Time(4000), "s", views(home)), near);
-    cr_assert_not(near.at("i-1").load_report->responsive);
+    cr_assert(subscriber_workers.at("i-0").load_report->as_of >= Time(3800));
+    cr_assert(subscriber_workers.at("i-1").load_report->as_of <= Time(1000));
+    LoadReport unresponsive_report = *publisher_workers.at("i-1").load_report;
+    unresponsive_report.as_of = Time(4000);
+    unresponsive_report.responsive = false;
+    publisher_workers.at("i-1").apply_report(unresponsive_report);
+    subscriber.apply(publisher.delta(Time(4000), "s", worker_pointers(publisher_workers)),
+                     subscriber_workers);
+    cr_assert_not(subscriber_workers.at("i-1").load_report->responsive);
 }
 
-// A report may come before the list that names its worker; that of a removed worker is forgotten.
+// A report may arrive before the instance list that contains its worker. The report of a removed worker is
+// discarded.
 Test(load_report_feed, reports_of_unlisted_workers_are_kept_until_removed) {
-    Workers home = some_workers(2), near = some_workers(1);
+    Workers publisher_workers = make_workers(2), subscriber_workers = make_workers(1);
     LoadReportPublisher publisher;
     LoadReportSubscriber subscriber;
-    for (auto& [id, worker] : home)
-        worker.apply_report(report(100, 5));
-    subscriber.apply(publisher.delta(Time(100), "s", views(home)), near);
-    near = some_workers(2);
-    for (auto& [id, worker] : home)
-        worker.apply_report(report(300, 5));
-    subscriber.apply(publisher.delta(Time(300), "s", views(home)), near);
-    cr_assert(near.at("i-1").load_report && near.at("i-1").load_report->as_of == Time(300));
-    home.erase("i-1");
-    const LoadReportUpdate last = publisher.delta(Time(500), "s", views(home));
-    cr_assert(encode(last, Time(500)).at("gone") == json::array({"i-1"}));
-    near.at("i-1").load_report.reset();
-    subscriber.apply(last, near);
-    cr_assert_not(near.at("i-1").load_report.has_value());
+    for (auto& [id, worker] : publisher_workers)
+        worker.apply_report(make_report(100, 5));
+    subscriber.apply(publisher.delta(Time(100), "s", worker_pointers(publisher_workers)), subscriber_workers);
+    subscriber_workers = make_workers(2);
+    for (auto& [id, worker] : publisher_workers)
+        worker.apply_report(make_report(300, 5));
+    subscriber.apply(publisher.delta(Time(300), "s", worker_pointers(publisher_workers)), subscriber_workers);
+    cr_assert(subscriber_workers.at("i-1").load_report &&
+              subscriber_workers.at("i-1").load_report->as_of == Time(300));
+    publisher_workers.erase("i-1");
+    const LoadReportUpdate update = publisher.delta(Time(500), "s", worker_pointers(publisher_workers));
+    cr_assert(encode(update, Time(500)).at("gone") == json::array({"i-1"}));
+    subscriber_workers.at("i-1").load_report.reset();
+    subscriber.apply(update, subscriber_workers);
+    cr_assert_not(subscriber_workers.at("i-1").load_report.has_value());
 }
 
 Test(load_report_feed, malformed_updates_change_nothing) {
-    Workers near = some_workers(1);
+    Workers subscriber_workers = make_workers(1);
     LoadReportSubscriber subscriber;
-    for (const char* bad : {R"({})", R"({"list":[7]})", R"({"list":[["i-0",1,"many",0,0,0,true]]})",
-                            R"({"list":[],"rest_age":"old"})", R"({"list":[],"gone":7})"}) {
-        json message = json::parse(bad);
+    for (const char* body : {R"({})", R"({"list":[7]})", R"({"list":[["i-0",1,"many",0,0,0,true]]})",
+                             R"({"list":[],"rest_age":"old"})", R"({"list":[],"gone":7})"}) {
+        json message = json::parse(body);
         message["type"] = "readings";
         bool thrown = false;
         try {
             subscriber.apply(
-                std::get<LoadReportUpdate>(load_reports::decode_publisher_message(message, Time(9))), near);
+                std::get<LoadReportUpdate>(load_reports::decode_publisher_message(message, Time(9))),
+                subscriber_workers);
         } catch (const json::exception&) {
             thrown = true;
         }
-        cr_assert(thrown, "%s", bad);
+        cr_assert(thrown, "%s", body);
     }
-    cr_assert_not(near.at("i-0").load_report.has_value());
+    cr_assert_not(subscriber_workers.at("i-0").load_report.has_value());
 }
