--- a/src/system/stream/event_splitter.h
+++ b/src/system/stream/event_splitter.h
@@ -1,6 +1,4 @@
-// Splits a `text/event-stream` into complete events and keeps the id of the last one passed on, so that a
-// stream which breaks off in the middle of an event can be resumed after the last complete one. Pure; one
-// thread. Bounded: an event may have `max_event_bytes`.
+// Splits a `text/event-stream` into complete events.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +9,28 @@
 
 inline constexpr std::size_t max_event_bytes = 1U << 20U;
 
+// Buffers a stream up to the end of an event and remembers the id of the last complete event, so that a
+// stream that breaks off within an event can be resumed after the last complete one. Buffers at most
+// `max_event_bytes`. Not thread-safe.
 class EventSplitter {
   public:
-    // Adds bytes of the stream. False, and nothing is added, where more than `max_event_bytes` would wait.
+    // Appends bytes of the stream. Returns false, and appends nothing, if the buffer would exceed
+    // `max_event_bytes`.
     bool append(std::string_view bytes);
-    // The complete events that have come since the last call; empty where there are none.
+    // Removes the complete events from the buffer and returns them; empty if there are none.
     std::string take_events();
-    // Bytes after the last complete event.
-    std::string_view partial_event() const { return rest_; }
-    // Forgets a partial event: its stream has broken off.
-    void discard_partial_event() { rest_.clear(); }
-    // Id of the last complete event taken, empty where none had one.
-    const std::string& last_event_id() const { return last_id_; }
+    // Returns the buffered bytes. After `take_events` these are the start of an incomplete event.
+    std::string_view partial_event() const { return buffer_; }
+    // Discards an incomplete event after its stream has broken off.
+    void discard_partial_event() { buffer_.clear(); }
+    // Returns the id of the last complete event that had one; empty if none had.
+    const std::string& last_event_id() const { return last_event_id_; }
 
   private:
-    void record_ids(std::string_view events);
+    void update_last_event_id(std::string_view events);
 
-    std::string rest_;
-    std::string last_id_;
+    std::string buffer_;
+    std::string last_event_id_;
 };
 
 } // namespace willowrill::stream
