--- a/src/system/routing/location.h
+++ b/src/system/routing/location.h
@@ -1,4 +1,4 @@
-// Where this scheduler runs, and which region each zone belongs to. Pure.
+// The location of this scheduler and the mapping of zones to regions.
 #pragma once
 
 #include <map>
@@ -9,12 +9,12 @@
 struct Location {
     std::string zone;
     std::string region;
-    std::map<std::string, std::string> regions; // of each zone, by the zone's name
+    std::map<std::string, std::string> region_by_zone;
 
-    // A zone that is not known counts as a region of its own.
+    // Returns the region of `other_zone`. An unknown zone is treated as a region of its own.
     const std::string& region_of(const std::string& other_zone) const {
-        const auto found = regions.find(other_zone);
-        return found == regions.end() ? other_zone : found->second;
+        const auto found = region_by_zone.find(other_zone);
+        return found == region_by_zone.end() ? other_zone : found->second;
     }
 };
 
--- a/src/system/routing/prompt.h
+++ b/src/system/routing/prompt.h
@@ -1,4 +1,4 @@
-// What a model request says of its prompt, in its headers. Pure.
+// Parses the headers in which a model request describes its prompt.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,16 @@
 
 namespace willowrill::routing {
 
+// Description of a prompt. Part of it may be a prefix that other requests share and that a worker can cache.
 struct Prompt {
-    std::string shared_key;          // the deepest part that others may share, empty where there is none
-    std::uint64_t shared_tokens = 0; // of all parts that may be shared
-    std::uint64_t input_tokens = 0;  // of the whole prompt
-    std::uint64_t tokens = 0;        // of the whole prompt, and the most that may be generated
+    std::string shared_prefix_id;    // id of the last shared part; empty if no part is shared
+    std::uint64_t shared_tokens = 0; // in all shared parts
+    std::uint64_t input_tokens = 0;  // in the whole prompt
+    std::uint64_t total_tokens = 0;  // in the whole prompt, plus the maximum number of generated tokens
 };
 
-// Parses `Prompt-Prefix` ("ID:TOKENS,...", the last part the request's own) and `Token-Count` ("IN,OUT").
-// Clients may write anything there: what makes no sense counts as nothing.
+// Parses `Prompt-Prefix` ("ID:TOKENS,...", where the last part belongs to this request alone) and
+// `Token-Count` ("IN,OUT"). The headers are untrusted client input: malformed numbers count as 0.
 Prompt parse_prompt(std::string_view prompt_prefix, std::string_view token_count);
 
 } // namespace willowrill::routing
--- a/src/system/routing/routing_request.h
+++ b/src/system/routing/routing_request.h
@@ -1,4 +1,4 @@
-// What the selection of a worker for one request goes by. Pure values.
+// The input of the selection of a worker for a request.
 #pragma once
 
 #include "system/configuration/configuration.h"
@@ -12,20 +12,21 @@
 
 namespace willowrill::routing {
 
-// Pointers are not owned and outlive the selection.
+// The request to select a worker for. The pointers are not owned and must outlive the selection.
 struct RoutingRequest {
     const configuration::Route* route = nullptr;
     const configuration::Service* service = nullptr;
     Prompt prompt;
-    const PrefillCost* prefill_cost = nullptr; // of the service; null where it is not a model's
-    std::set<std::string> tried_workers;       // workers that had this request or could not be reached, by id
+    const PrefillCost* prefill_cost = nullptr; // of the service; null if the service runs no model
+    std::set<std::string> tried_workers; // ids of workers that received this request or were unreachable
 };
 
-// What else bounds the selection.
+// Constraints on the selection that do not depend on the request.
 struct SelectionLimits {
-    const std::set<std::string>* evacuated = nullptr; // zones; null: none
-    std::size_t schedulers = 1;                       // that share the budget of a worker that warms up
-    std::function<std::size_t(const std::string&)> cold_rank; // this scheduler's rank in a worker's order
+    const std::set<std::string>* evacuated_zones = nullptr; // not owned; null: none
+    std::size_t scheduler_count = 1; // schedulers that share the budget of a cold worker
+    // Returns this scheduler's position, from 0, in the rendezvous order of the worker with the given id.
+    std::function<std::size_t(const std::string&)> scheduler_rank;
 };
 
 } // namespace willowrill::routing
--- a/src/system/routing/scoring.h
+++ b/src/system/routing/scoring.h
@@ -1,5 +1,5 @@
-// The parts of the PLUD score of a worker for a request: L from its load report, I from its tier, and what a
-// dispatch adds to X. The sum is `policy::plud_score`. Pure.
+// The terms of the PLUD score of a worker for a request: L (load), I (tier increment) and the amount by which
+// a dispatch raises X (load dispatched since the last report). `policy::plud_score` adds them up.
 #pragma once
 
 #include "system/routing/routing_request.h"
@@ -9,21 +9,23 @@
 
 namespace willowrill::routing {
 
-// Why a worker is preferred for a request: the order of the tiers' increments.
+// How well a worker suits a request by cache contents and location, from most to least preferred.
 enum class Tier { cache_holder, zone, region, other_region };
 const char* name_of(Tier tier);
 
-// I. The own zone is preferred where no worker holds parts of the prompt.
+// Returns I. The scheduler's own zone is preferred to the rest of its region only if no worker is expected to
+// hold shared parts of the prompt.
 double tier_increment(Tier tier, bool has_cache_holder);
 
-// L: the share of the capacity or of the cache in use or, where that is more, the share of the route's
-// latency target that passes before the prompts that wait at the worker are prefilled.
-double load_for(const RoutingRequest& request, const Worker& worker);
+// Returns L: the larger of the reported load and the estimated time to prefill the prompts queued at the
+// worker as a fraction of the route's latency target.
+double effective_load(const RoutingRequest& request, const Worker& worker);
 
-// Prompt tokens that a worker of the tier is expected to prefill: the cache holder has the shared ones.
+// Returns the number of prompt tokens that a worker of the tier is expected to prefill. The cache holder is
+// expected to have the shared parts.
 std::uint64_t tokens_to_prefill(const Prompt& prompt, Tier tier);
 
-// What the dispatch of the request to the worker adds to X. `increment`: of the worker's tier.
+// Returns the amount by which dispatching the request to the worker raises X. `increment`: I of the worker.
 double load_increment(const RoutingRequest& request, const Worker& worker, double increment);
 
 } // namespace willowrill::routing
--- a/src/system/routing/selector.h
+++ b/src/system/routing/selector.h
@@ -1,6 +1,4 @@
-// Which worker a request goes to: PLUD over the workers that may have it. Tiers: the worker that is expected
-// to hold the request's shared prompt parts is preferred, others of the zone and region come next, other
-// regions are the last resort. Pure but for its random source, which is seeded from outside; one thread.
+// Selects the worker for a request.
 #pragma once
 
 #include "system/budget/cold_budget.h"
@@ -21,52 +19,58 @@
 
 using Workers = std::map<std::string, Worker>; // by instance id
 
-// How many eligible workers a selection passed over, by reason.
+// Numbers of eligible workers that a selection skipped, by reason.
 struct SkippedWorkers {
-    std::size_t saturated = 0; // rejected a request a moment ago
-    std::size_t ejected = 0;   // failed here, or are silent
-    std::size_t warming = 0;   // have had this scheduler's share
+    std::size_t saturated = 0; // rejected a request recently
+    std::size_t ejected = 0;   // failed a request of this scheduler, or do not answer probes
+    std::size_t warming = 0;   // this scheduler's share of requests to a worker that warms up is used up
 };
 
 struct Selection {
-    Worker* worker = nullptr;  // one of the workers given; null: none may have the request
-    double load_increment = 0; // what the dispatch adds to X
+    Worker* worker = nullptr;  // points into the given workers; null: no worker can take the request
+    double load_increment = 0; // the amount by which the dispatch raises X
     Tier tier = Tier::other_region;
-    std::uint64_t tokens_to_prefill = 0; // as far as the worker is not expected to hold them
-    bool queue_empty = false;            // nothing waits at the worker, as far as is known
+    std::uint64_t tokens_to_prefill = 0; // prompt tokens that the worker is not expected to have cached
+    bool queue_empty = false;            // true if the worker is known to have no queued requests
     SkippedWorkers skipped;
 };
 
+// Selects workers by their PLUD score. The tiers prefer the worker that is expected to have cached the shared
+// parts of the prompt, then other workers of the scheduler's zone and region; other regions are the last
+// resort. Results depend only on the arguments and the seed. Not thread-safe.
 class Selector {
   public:
     Selector(Location location, std::uint64_t seed) : location_(std::move(location)), random_(seed) {}
 
-    // The eligible worker with the lowest score; among equals each with the same chance. Workers that are
-    // ejected or saturated are considered only where no other is left.
+    // Selects the eligible worker with the lowest score; ties are broken at random with equal probability.
+    // Ejected and saturated workers are considered only if there is no other.
     Selection choose(Time now, Workers& workers, const RoutingRequest& request, const SelectionLimits& limits,
-                     budget::ColdBudget& cold);
-    // The service of a route, drawn by the weights of its distribution.
+                     budget::ColdBudget& cold_budget);
+    // Draws one of the route's services at random, with the weights of its distribution.
     const std::string& pick_service(const configuration::Route& route);
     const Location& location() const { return location_; }
 
   private:
+    // Whether ejected and saturated workers are excluded.
     enum class Health { required, ignored };
-    // The workers that may have a request, in the order of their ids.
+    // The eligible workers of a request, ordered by id.
     struct Candidates {
         std::vector<Worker*> workers;
-        bool any_in_own_region = false;
+        bool has_worker_in_own_region = false;
         std::string cache_holder; // instance id; empty: none
     };
 
-    bool eligible(const Worker& worker, const RoutingRequest& request, const SelectionLimits& limits) const;
-    bool in_own_region(const Worker& worker) const;
-    Candidates candidates_for(Workers& workers, const RoutingRequest& request,
-                              const SelectionLimits& limits) const;
-    std::string cache_holder_of(const Candidates& candidates, const Prompt& prompt) const;
+    bool is_eligible(const Worker& worker, const RoutingRequest& request,
+                     const SelectionLimits& limits) const;
+    bool is_in_own_region(const Worker& worker) const;
+    Candidates find_candidates(Workers& workers, const RoutingRequest& request,
+                               const SelectionLimits& limits) const;
+    std::string find_cache_holder(const Candidates& candidates, const Prompt& prompt) const;
     Tier tier_of(const Worker& worker, const Candidates& candidates) const;
+    // Selects among the candidates and adds those that it skips to `skipped`.
     Selection choose_among(Time now, const Candidates& candidates, Health health,
                            const RoutingRequest& request, const SelectionLimits& limits,
-                           budget::ColdBudget& cold, SkippedWorkers& skipped);
+                           budget::ColdBudget& cold_budget, SkippedWorkers& skipped);
 
     Location location_;
     std::mt19937_64 random_;
