--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -18,7 +18,7 @@
     out.initial_start = settings.initial_start;
     for (const settings::Endpoint& seed : settings.seeds)
         out.seeds.push_back(settings::to_text(seed));
-    out.tolerated = settings.tolerated_members;
+    out.tolerated_losses = settings.tolerated_members;
     out.random_seed = identity::random_identity() ^ std::hash<std::string>()(settings.node_name);
     return out;
 }
--- a/src/system/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -33,8 +33,8 @@
     bool is_primary() const { return replica_.is_primary(); }
     std::optional<MemberId> primary() const { return replica_.primary(); }
     // Whether a quorum vouched a moment ago for the state that is held here.
-    bool current() const { return replica_.current(steady_now()); }
-    bool may_end() const { return replica_.may_end(steady_now()); }
+    bool current() const { return replica_.is_current(steady_now()); }
+    bool may_end() const { return replica_.is_safe_to_shut_down(steady_now()); }
     const replication::WitnessRegister& witness_register() const { return replica_.witness_register(); }
 
   private:
--- a/src/system/control/endpoint_list_service.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -24,7 +24,7 @@
 void EndpointListService::assign(std::uint64_t epoch, const std::vector<std::string>& live) {
     if (!assigner_ || assigner_epoch_ != epoch) {
         // One member reads all lists where nothing stands against it: together they take fewer calls.
-        assigner_.emplace(epoch, owner_timeout, ownership::Placement::together);
+        assigner_.emplace(epoch, owner_timeout, ownership::Placement::colocated);
         assigner_epoch_ = epoch;
     }
     const messages::RoleAssignments roles{assigner_->assign(zones_, live, steady_now())};
@@ -37,7 +37,7 @@
 }
 
 void EndpointListService::on(const messages::ZoneListUnchanged& unchanged) {
-    if (assigner_) assigner_->on_work_seen(unchanged.zone, unchanged.token, steady_now());
+    if (assigner_) assigner_->on_owner_activity(unchanged.zone, unchanged.token, steady_now());
 }
 
 void EndpointListService::on(const messages::RoleAssignments& roles) {
@@ -65,7 +65,7 @@
 
 void EndpointListService::apply_list(const discovery::ZoneList& list) {
     if (!catalogue_.take(list)) return;
-    if (assigner_) assigner_->on_work_seen(list.zone, list.token, steady_now());
+    if (assigner_) assigner_->on_owner_activity(list.zone, list.token, steady_now());
     const Clock::time_point now = Clock::now();
     PublishedZone& before = published_[list.zone];
     const auto elapsed = std::chrono::duration_cast<discovery::Milliseconds>(now - before.at);
--- a/src/system/control/replica_store.cpp
+++ b/src/system/control/replica_store.cpp
@@ -35,7 +35,7 @@
 
 void report(const char* name, const storage::RecordRing& ring) {
     using storage::SlotContent;
-    for (const SlotContent content : ring.found()) {
+    for (const SlotContent content : ring.slot_contents()) {
         if (content == SlotContent::torn) logging::warning("record-torn").field("ring", name);
         if (content == SlotContent::foreign || content == SlotContent::newer)
             logging::error("record-not-ours")
@@ -76,7 +76,7 @@
 }
 
 bool ReplicaStore::save(const replication::Save& request) {
-    if (failed_ && !request.restores) return false;
+    if (failed_ && !request.is_restoration) return false;
     const storage::RecordFormat format = format_of(request.record);
     const auto* value = std::get_if<replication::WitnessRegister>(&request.record);
     failed_ = value != nullptr ? !registers_.write(replication::encode_register(*value), format)
--- a/src/system/control/replica_store.h
+++ b/src/system/control/replica_store.h
@@ -17,7 +17,7 @@
 
     replication::Loaded load() const;
     // True once the record survives a loss of power. Otherwise it may or may not be stored, and every later
-    // save fails too, until one that restores (`replication::Save::restores`) succeeds.
+    // save fails too, until one that restores (`replication::Save::is_restoration`) succeeds.
     bool save(const replication::Save& request);
 
   private:
--- a/src/system/control/replica_store_thread.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -65,9 +65,9 @@
         self->post_event(self, store ? store->load() : replication::Loaded{});
         while (const auto request = self->next()) {
             if (!store || store->save(*request))
-                self->post_event(self, replication::Saved{request->ticket});
+                self->post_event(self, replication::Saved{request->save_id});
             else
-                self->post_event(self, replication::SaveFailed{request->ticket});
+                self->post_event(self, replication::SaveFailed{request->save_id});
         }
     }
 };
--- a/src/system/messages/codec.cpp
+++ b/src/system/messages/codec.cpp
@@ -231,7 +231,7 @@
 CoreMessage decode_replication(const json& in) {
     const json& message = in.at("message");
     const auto type = message.at("type").get<std::string>();
-    if (!replication::knows_message(type)) return unknown(in, "replication/" + type);
+    if (!replication::is_known_message_type(type)) return unknown(in, "replication/" + type);
     return ReplicationEnvelope{replication::decode_message(message)};
 }
 
@@ -239,7 +239,7 @@
 CoreMessage decode_replication_delta(const json& in) {
     const json& message = in.at("message");
     const auto type = message.at("type").get<std::string>();
-    if (!replication::knows_message(type)) return unknown(in, "replication/" + type);
+    if (!replication::is_known_message_type(type)) return unknown(in, "replication/" + type);
     ReplicationDelta out{replication::decode_message(message), decode_position(in.at("base")), {}, ""};
     const std::string digest = from_base64(in.at("digest"));
     if (replication::state_in(out.message) == nullptr || digest.size() != out.digest.size())
--- a/src/system/ownership/ownership.cpp
+++ b/src/system/ownership/ownership.cpp
@@ -33,7 +33,7 @@
     return out;
 }
 
-void RoleAssigner::on_work_seen(const std::string& key, FencingToken token, Time now) {
+void RoleAssigner::on_owner_activity(const std::string& key, FencingToken token, Time now) {
     const auto role = roles_.find(key);
     if (role != roles_.end() && role->second.assignment.token == token) role->second.seen = now;
 }
@@ -57,14 +57,14 @@
         if (!role.failed.contains(name)) able.push_back(name);
     const std::vector<std::string>& candidates = able.empty() ? live : able;
     if (candidates.empty()) return "";
-    if (placement_ == Placement::apart) return rendezvous_order(key, candidates).front();
+    if (placement_ == Placement::distributed) return rendezvous_order(key, candidates).front();
     std::string most = owner_of_most(live, now);
     if (std::ranges::count(candidates, most) > 0) return most;
     return rendezvous_order("", candidates).front();
 }
 
 bool RoleAssigner::is_apart_from(const std::string& owner, const Role& role, Time now) const {
-    return placement_ == Placement::together && !owner.empty() && role.assignment.owner != owner &&
+    return placement_ == Placement::colocated && !owner.empty() && role.assignment.owner != owner &&
            !role.failed.contains(owner) && now - role.assigned > failure_memory;
 }
 
--- a/src/system/ownership/ownership.h
+++ b/src/system/ownership/ownership.h
@@ -30,16 +30,16 @@
 std::vector<std::string> rendezvous_order(std::string_view key, const std::vector<std::string>& candidates);
 
 // Whether each key goes to the candidate that ranks best for it, or all keys to one candidate.
-enum class Placement { apart, together };
+enum class Placement { distributed, colocated };
 
 // Run by the primary of an epoch; made anew for each epoch.
 class RoleAssigner {
   public:
-    RoleAssigner(std::uint64_t epoch, Time timeout, Placement placement = Placement::apart)
+    RoleAssigner(std::uint64_t epoch, Time timeout, Placement placement = Placement::distributed)
         : epoch_(epoch), timeout_(timeout), placement_(placement) {}
 
     // The owner's work under this token has been seen.
-    void on_work_seen(const std::string& key, FencingToken token, Time now);
+    void on_owner_activity(const std::string& key, FencingToken token, Time now);
     // Assigns what has no live owner, or one that shows no work. Keys that are to be together and came apart,
     // as one of them was lost, come together again once that is forgotten.
     std::vector<Assignment> assign(const std::vector<std::string>& keys, const std::vector<std::string>& live,
--- a/src/system/replication/actions.h
+++ b/src/system/replication/actions.h
@@ -20,9 +20,9 @@
 // fail, unseen by the disk, up to the next one that `restores`: what was asked for before the failure was
 // known may only make sense behind the record that failed.
 struct Save {
-    SaveId ticket = 0;
+    SaveId save_id = 0;
     DiskRecord record;
-    bool restores = false;
+    bool is_restoration = false;
 };
 
 struct Committed {
--- a/src/system/replication/codec.cpp
+++ b/src/system/replication/codec.cpp
@@ -66,16 +66,16 @@
 }
 
 void to_json(Json& json, const HeartbeatReply& reply) {
-    json = Json{{"number", reply.number},         {"epoch", reply.epoch},    {"promised", reply.promised},
-                {"holds", reply.holds},           {"voting", reply.voting},  {"intact", reply.complete},
-                {"leaving", reply.shutting_down}, {"sent_at", reply.sent_at}};
+    json = Json{{"number", reply.number},          {"epoch", reply.epoch},    {"promised", reply.promised},
+                {"holds", reply.newest_committed}, {"voting", reply.voting},  {"intact", reply.complete},
+                {"leaving", reply.shutting_down},  {"sent_at", reply.sent_at}};
 }
 
 void from_json(const Json& json, HeartbeatReply& reply) {
     json.at("number").get_to(reply.number);
     json.at("epoch").get_to(reply.epoch);
     json.at("promised").get_to(reply.promised);
-    json.at("holds").get_to(reply.holds);
+    json.at("holds").get_to(reply.newest_committed);
     json.at("voting").get_to(reply.voting);
     json.at("intact").get_to(reply.complete);
     json.at("leaving").get_to(reply.shutting_down);
@@ -125,7 +125,7 @@
     return json;
 }
 
-bool knows_message(const std::string& type) { return std::ranges::count(names, type) > 0; }
+bool is_known_message_type(const std::string& type) { return std::ranges::count(names, type) > 0; }
 
 Message decode_message(const Json& json) {
     Message out;
--- a/src/system/replication/codec.h
+++ b/src/system/replication/codec.h
@@ -14,7 +14,7 @@
 nlohmann::json encode(const Message& message);
 Message decode_message(const nlohmann::json& json);
 // Whether a message of this type is known to this version.
-bool knows_message(const std::string& type);
+bool is_known_message_type(const std::string& type);
 
 std::string encode_register(const WitnessRegister& value);
 WitnessRegister decode_register(const std::string& text);
--- a/src/system/replication/events.h
+++ b/src/system/replication/events.h
@@ -22,12 +22,12 @@
 
 // The record of this save survives any loss of power.
 struct Saved {
-    SaveId ticket = 0;
+    SaveId save_id = 0;
 };
 
 // The disk refused the record, or reported an error after taking it: it may be there or not.
 struct SaveFailed {
-    SaveId ticket = 0;
+    SaveId save_id = 0;
 };
 
 struct Received {
--- a/src/system/replication/messages.h
+++ b/src/system/replication/messages.h
@@ -82,9 +82,9 @@
     std::uint64_t number = 0;
     Epoch epoch = 0;
     Epoch promised = 0;
-    Position holds;        // newest committed state known to the sender
-    bool voting = false;   // has a register it can vote with, and a disk that takes records
-    bool complete = false; // its state was complete when it was last installed
+    Position newest_committed; // newest committed state known to the sender
+    bool voting = false;       // has a register it can vote with, and a disk that takes records
+    bool complete = false;     // its state was complete when it was last installed
     bool shutting_down = false;
     std::int64_t sent_at = 0; // ms of the sender's steady clock, for `Heartbeat::echo`
 };
--- a/src/system/replication/peer_table.h
+++ b/src/system/replication/peer_table.h
@@ -22,7 +22,7 @@
     // Of its replies to heartbeats.
     std::uint64_t heartbeat = 0;           // highest number answered in this epoch
     std::optional<Time> heartbeat_sent_at; // when the newest heartbeat that it answered was sent
-    Position holds;                        // its newest committed state
+    Position newest_committed;             // its newest committed state
     bool voting = false;
     std::optional<Time> voting_at; // when the newest heartbeat was sent that it answered as one that can vote
     bool complete = false;         // its replica of the state is complete
@@ -75,9 +75,9 @@
     // distances, as only these matter.
     template <class Visitor> void visit_state(Visitor& visitor, std::uint64_t newest_heartbeat) const {
         for (const auto& [id, peer] : peers_) {
-            visitor(id, peer.connected, peer.heard_at, peer.steady_since, peer.heartbeat_sent_at, peer.holds,
-                    peer.voting, peer.voting_at, peer.complete, peer.shutting_down, peer.reply_sent_at == 0,
-                    Time{peer.reply_sent_at}, peer.commit_notification_sent_at);
+            visitor(id, peer.connected, peer.heard_at, peer.steady_since, peer.heartbeat_sent_at,
+                    peer.newest_committed, peer.voting, peer.voting_at, peer.complete, peer.shutting_down,
+                    peer.reply_sent_at == 0, Time{peer.reply_sent_at}, peer.commit_notification_sent_at);
             visitor(peer.heartbeat == 0 ? newest_heartbeat + 1 : newest_heartbeat - peer.heartbeat);
         }
     }
--- a/src/system/replication/replica.cpp
+++ b/src/system/replication/replica.cpp
@@ -29,14 +29,14 @@
     return register_.decided.primary;
 }
 
-bool Replica::current(Time now) const {
+bool Replica::is_current(Time now) const {
     const Time validity = options_.timing.contact_validity;
     if (role_ != Role::primary) return contact_at_ && now - *contact_at_ <= validity;
     return quorum_answered(now, validity);
 }
 
 // A standby that could take this member's place is one that is connected and no witness.
-bool Replica::may_end(Time now) const {
+bool Replica::is_safe_to_shut_down(Time now) const {
     if (role_ == Role::primary) return false;
     if (!has_register_) return true;
     if (!primary_heard_at_ || now - *primary_heard_at_ > options_.timing.contact_validity) return false;
@@ -149,7 +149,7 @@
 
 // Whether the primary, here or elsewhere, was heard a moment ago: no reason for an election.
 bool Replica::heard_primary_recently() const {
-    if (role_ == Role::primary) return current(now_);
+    if (role_ == Role::primary) return is_current(now_);
     return primary_heard_at_ && now_ - *primary_heard_at_ < options_.timing.contact_validity;
 }
 
--- a/src/system/replication/replica.h
+++ b/src/system/replication/replica.h
@@ -75,7 +75,7 @@
     // The primary of the newest epoch known, or nothing while there is none.
     std::optional<MemberId> primary() const;
     // Whether a quorum vouched a moment ago, by this member's clock, for what `committed()` says.
-    bool current(Time now) const;
+    bool is_current(Time now) const;
     const ReplicatedState& committed() const { return committed_; }
     const WitnessRegister& witness_register() const { return register_; }
     // The newest state that was given to the disk, committed or not.
@@ -83,7 +83,7 @@
     bool shutting_down() const { return shutting_down_; }
     // Whether the others hold enough copies and a quorum without this member, as far as that can be had:
     // witnesses can be replaced only where a member stands by.
-    bool may_end(Time now) const;
+    bool is_safe_to_shut_down(Time now) const;
 
     // Shows a visitor all that decides what happens next, apart from the options: `visitor(fields...)`. For
     // searches through states (src/system/verification); counters are shown as distances, as only these
@@ -134,8 +134,10 @@
     bool reaches_quorum() const;
     bool quorum_answered(Time now, Time within) const;
     bool heard_primary_recently() const;
-    std::size_t min_in_sync() const { return replication::min_in_sync(options_.tolerated); }
-    std::size_t full_witness_count() const { return replication::full_witness_count(options_.tolerated); }
+    std::size_t min_in_sync() const { return replication::min_in_sync(options_.tolerated_losses); }
+    std::size_t full_witness_count() const {
+        return replication::full_witness_count(options_.tolerated_losses);
+    }
 
     // The disk, and a register that was lost (replica_durability.cpp).
     void on(const Loaded& loaded);
--- a/src/system/replication/replica_backup.cpp
+++ b/src/system/replication/replica_backup.cpp
@@ -112,7 +112,7 @@
     return {.number = number,
             .epoch = epoch,
             .promised = register_.promised,
-            .holds = committed_.position,
+            .newest_committed = committed_.position,
             .voting = can_vote(),
             .complete = register_.complete,
             .shutting_down = shutting_down_,
--- a/src/system/replication/replica_durability.cpp
+++ b/src/system/replication/replica_durability.cpp
@@ -74,15 +74,15 @@
 void Replica::carry_out(const Send& send) { actions_->emplace_back(send); }
 
 void Replica::on(const Saved& saved) {
-    if (!durability_.on_saved(now_, saved.ticket)) return;
-    while (const std::optional<DeferredAction> action = durability_.take_due(saved.ticket))
+    if (!durability_.on_saved(now_, saved.save_id)) return;
+    while (const std::optional<DeferredAction> action = durability_.take_due(saved.save_id))
         std::visit([this](const auto& due) { carry_out(due); }, *action);
 }
 
 // Whether the record is on disk is unknown now: nothing that waited for it may happen, and the records in
 // memory, which hold all that was ever vouched for, are written anew before this member counts again.
 void Replica::on(const SaveFailed& failed) {
-    if (!durability_.on_refused(now_, failed.ticket) || role_ == Role::storage_failed) return;
+    if (!durability_.on_refused(now_, failed.save_id) || role_ == Role::storage_failed) return;
     if (role_ == Role::primary) transfer_leadership();
     backoff_.back_off(now_);
     abort_client_requests();
--- a/src/system/replication/replica_primary.cpp
+++ b/src/system/replication/replica_primary.cpp
@@ -135,7 +135,7 @@
 // ---- Confirmation of leadership --------------------------------------------------------------------------
 
 void Replica::on(const ConfirmLeadership& event) {
-    if (role_ != Role::primary || !current(now_)) {
+    if (role_ != Role::primary || !is_current(now_)) {
         actions_->emplace_back(OutcomeUnknown{event.id});
         return;
     }
@@ -173,7 +173,7 @@
     send(to, Heartbeat{.number = heartbeats_.number(),
                        .record = register_.decided,
                        .committed = committed_.position,
-                       .in_contact = current(now_),
+                       .in_contact = is_current(now_),
                        .echo = peer == nullptr ? 0 : peer->reply_sent_at});
 }
 
@@ -192,7 +192,7 @@
         peer.heartbeat = std::max(peer.heartbeat, reply.number);
         peer.heartbeat_sent_at = std::max(peer.heartbeat_sent_at, heartbeats_.sent_at(reply.number));
     }
-    peer.holds = reply.holds;
+    peer.newest_committed = reply.newest_committed;
     if (first) send_heartbeat(from); // so that it knows at once how fresh this is
     notify_commit(from);
     check_confirmations();
@@ -201,7 +201,7 @@
 // Gives the newest committed state to a member that lacks it.
 void Replica::notify_commit(const MemberId& to) {
     Peer& peer = peers_.get(to);
-    if (peer.holds >= committed_.position) return;
+    if (peer.newest_committed >= committed_.position) return;
     const std::optional<Time> last = peer.commit_notification_sent_at;
     if (last && now_ - *last < commit_notification_interval) return;
     peer.commit_notification_sent_at = now_;
--- a/src/system/simulation/disk.cpp
+++ b/src/system/simulation/disk.cpp
@@ -48,9 +48,9 @@
     requests_.pop_front();
     busy_ = false;
     const bool is_state = std::holds_alternative<replication::ReplicatedState>(request.record);
-    if (failed_ && !request.restores && !hides_failures) {
+    if (failed_ && !request.is_restoration && !hides_failures) {
         start_next();
-        return on_event_(replication::SaveFailed{request.ticket});
+        return on_event_(replication::SaveFailed{request.save_id});
     }
     const bool refused = queue_.now() < refusing_until;
     failed_ = refused;
@@ -60,8 +60,8 @@
     if (refused && queue_.chance() < 0.5) cached_ = durable_;
     if (!forgotten && !refused) apply(durable_, request.record);
     start_next();
-    if (refused && !hides_failures) return on_event_(replication::SaveFailed{request.ticket});
-    on_event_(replication::Saved{request.ticket});
+    if (refused && !hides_failures) return on_event_(replication::SaveFailed{request.save_id});
+    on_event_(replication::Saved{request.save_id});
 }
 
 void Disk::stop(bool power_lost) {
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -43,7 +43,7 @@
     options.self = id_;
     options.seeds = environment_.seeds;
     options.initial_start = std::exchange(initial_start_, false);
-    options.tolerated = environment_.tolerated;
+    options.tolerated_losses = environment_.tolerated;
     options.random_seed = environment_.queue.draw();
     if (environment_.break_no_election_backoff) {
         options.timing.election_backoff_first = options.timing.election_backoff_max = Time{0};
@@ -60,7 +60,9 @@
             const auto found = schedulers_.find(session);
             if (found != schedulers_.end()) found->second.close();
         },
-        [this] { return environment_.break_always_current || replica_->current(environment_.queue.now()); },
+        [this] {
+            return environment_.break_always_current || replica_->is_current(environment_.queue.now());
+        },
         [this] {
             const auto place = [](const MemberId& member) {
                 return messages::CoreMember{member, member.substr(0, member.find(':')), "region"};
@@ -360,7 +362,9 @@
 void Member::end_if_possible() {
     if (!on_ended_) return;
     const Time since = environment_.queue.now() - shutdown_began_at_;
-    if (since < min_shutdown_time || (since < grace && !replica_->may_end(environment_.queue.now()))) return;
+    if (since < min_shutdown_time ||
+        (since < grace && !replica_->is_safe_to_shut_down(environment_.queue.now())))
+        return;
     const auto ended = std::move(on_ended_);
     stop(false);
     ended();
--- a/src/system/storage/record_ring.h
+++ b/src/system/storage/record_ring.h
@@ -32,7 +32,7 @@
     // The newest complete record, if there is any.
     const std::optional<std::string>& newest() const { return newest_; }
     // What each slot held when the ring was opened, for the operators' log.
-    const std::vector<SlotContent>& found() const { return found_; }
+    const std::vector<SlotContent>& slot_contents() const { return found_; }
 
     // Returns once the record will survive a loss of power, or false where the disk did not take it or it is
     // longer than the capacity. After a failure the record is there or not; the next one goes to the same
--- a/src/system/verification/cluster_model.cpp
+++ b/src/system/verification/cluster_model.cpp
@@ -107,7 +107,7 @@
     out.self = ids[index];
     out.initial_start = ticks_ == 0 && index < first_members;
     out.seeds.assign(ids.begin(), ids.begin() + first_members);
-    out.tolerated = tolerated;
+    out.tolerated_losses = tolerated;
     out.timing = model_timing();
     out.random_seed = members_[index].incarnation;
     return out;
@@ -327,12 +327,12 @@
     Member& member = members_[index];
     const Save save = std::move(member.saves.front());
     member.saves.pop_front();
-    if (save.restores) member.disk_failed = false;
+    if (save.is_restoration) member.disk_failed = false;
     const bool fails = refused || member.disk_failed;
     if (!fails || (refused && written && !member.disk_failed)) write(index, save.record);
-    if (!fails || breaks_.hides_failures) return feed(index, Saved{save.ticket});
+    if (!fails || breaks_.hides_failures) return feed(index, Saved{save.save_id});
     member.disk_failed = true;
-    feed(index, SaveFailed{save.ticket});
+    feed(index, SaveFailed{save.save_id});
 }
 
 void ClusterModel::write(MemberIndex index, const DiskRecord& record) {
@@ -380,7 +380,7 @@
             member.shutting_down = true;
         if (!member.shutting_down || member.ended || !runs(index) || is_frozen(index)) continue;
         if (!member.replica->shutting_down()) feed(index, BeginShutdown{});
-        if (ticks_ > shutdown_tick && member.replica->may_end(now_)) {
+        if (ticks_ > shutdown_tick && member.replica->is_safe_to_shut_down(now_)) {
             member.ended = true;
             stop(index, false);
         }
@@ -460,7 +460,7 @@
     for (MemberIndex other = 0; other < member_count; ++other)
         if (are_connected(index, other)) live.push_back(ids[other]);
     for (const ownership::Assignment& role : member.roles->assign({role_key}, live, now_)) {
-        member.roles->on_work_seen(role.key, role.token, now_);
+        member.roles->on_owner_activity(role.key, role.token, now_);
         const auto [known, fresh] = token_owners_.emplace(role.token, role.owner);
         if (!fresh && known->second != role.owner)
             violate(fmt::format("one fencing token for {} and {}", known->second, role.owner));
@@ -491,7 +491,7 @@
     const std::vector<int> orders = orders_in(*state.content);
     if (std::set<int>(orders.begin(), orders.end()).size() != orders.size())
         violate("an order was applied twice");
-    if (!breaks_.always_current && !replica.current(now_)) return;
+    if (!breaks_.always_current && !replica.is_current(now_)) return;
     for (const auto& [order, at] : acknowledged_) {
         const Time since = (ticks_ - at - 1) * tick_time;
         if (since > contact_validity && std::ranges::count(orders, order) == 0)
--- a/src/system/verification/state_hash.h
+++ b/src/system/verification/state_hash.h
@@ -82,7 +82,7 @@
     }
     void add(const replication::ReplicatedState& value) { (*this)(value.position, value.content); }
     void add(const replication::Send& value) { (*this)(value.to, value.message); }
-    void add(const replication::Save& value) { (*this)(value.record, value.restores); }
+    void add(const replication::Save& value) { (*this)(value.record, value.is_restoration); }
     void add(const replication::Committed& value) { add(value.id); }
     void add(const replication::OutcomeUnknown& value) { add(value.id); }
     void add(const replication::LeadershipConfirmed& value) { add(value.id); }
@@ -113,8 +113,8 @@
         (*this)(value.record, value.committed, value.in_contact, Time(value.echo));
     }
     void add(const replication::HeartbeatReply& value) {
-        (*this)(value.epoch, value.promised, value.holds, value.voting, value.complete, value.shutting_down,
-                Time(value.sent_at));
+        (*this)(value.epoch, value.promised, value.newest_committed, value.voting, value.complete,
+                value.shutting_down, Time(value.sent_at));
     }
     void add(const replication::CommitNotification& value) { (*this)(value.epoch, value.state); }
     void add(const replication::RecoveryRequest& value) { add(value.nonce); }
--- a/tests/system/ownership/role_assigner_test.cpp
+++ b/tests/system/ownership/role_assigner_test.cpp
@@ -45,7 +45,7 @@
 } // namespace
 
 Test(role_assigner, keys_that_are_to_be_together_have_one_owner_and_follow_it) {
-    ownership::RoleAssigner assigner(7, Time(1600), ownership::Placement::together);
+    ownership::RoleAssigner assigner(7, Time(1600), ownership::Placement::colocated);
     const std::vector<std::string> live{"a", "b", "c"};
     const auto first = assigner.assign(zones, live, Time(0));
     cr_assert_eq(owners_of(first).size(), 1U);
@@ -59,7 +59,7 @@
 }
 
 Test(role_assigner, keys_that_came_apart_come_together_once_the_failure_is_forgotten) {
-    ownership::RoleAssigner assigner(7, Time(1600), ownership::Placement::together);
+    ownership::RoleAssigner assigner(7, Time(1600), ownership::Placement::colocated);
     const std::vector<std::string> live{"a", "b", "c"};
     std::vector<ownership::Assignment> now = assigner.assign(zones, live, Time(0));
     const std::string owner = now[0].owner;
@@ -68,7 +68,7 @@
         for (int at = from; at <= to; at += 250) {
             for (const ownership::Assignment& one : now)
                 if (one.key != "z1" || one.owner != owner)
-                    assigner.on_work_seen(one.key, one.token, Time(at));
+                    assigner.on_owner_activity(one.key, one.token, Time(at));
             now = assigner.assign(zones, live, Time(at));
         }
     };
@@ -76,7 +76,7 @@
     cr_assert_eq(owners_of(now).size(), 2U, "the zone alone has moved");
     for (int at = 3250; at <= 9000; at += 250) {
         for (const ownership::Assignment& one : now)
-            assigner.on_work_seen(one.key, one.token, Time(at));
+            assigner.on_owner_activity(one.key, one.token, Time(at));
         now = assigner.assign(zones, live, Time(at));
     }
     cr_assert_eq(owners_of(now).size(), 1U);
@@ -87,12 +87,12 @@
     const std::vector<std::string> live{"a", "b", "c"};
     const auto first = assigner.assign({"zone"}, live, Time(0))[0];
     cr_assert_eq(first.token.epoch, 7U);
-    assigner.on_work_seen("zone", first.token, Time(1000));
+    assigner.on_owner_activity("zone", first.token, Time(1000));
     cr_assert(assigner.assign({"zone"}, live, Time(2600))[0] == first);
     const auto second = assigner.assign({"zone"}, live, Time(2601))[0];
     expect_other_text(second.owner.c_str(), first.owner.c_str());
     cr_assert(second.token > first.token);
-    assigner.on_work_seen("zone", first.token, Time(4000)); // the old one wakes up
+    assigner.on_owner_activity("zone", first.token, Time(4000)); // the old one wakes up
     const auto third = assigner.assign({"zone"}, live, Time(4300))[0];
     cr_assert(third.token > second.token);
     const auto gone = assigner.assign({"zone"}, {"a"}, Time(4400))[0];
--- a/tests/system/replication/backup_test.cpp
+++ b/tests/system/replication/backup_test.cpp
@@ -42,27 +42,27 @@
     ReplicaDriver member(options("b:1", true));
     const auto reply =
         sent<HeartbeatReply>(member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {}, true, 0}));
-    cr_assert_not(member.replica.current(Time(1000)), "nothing says how old that was");
+    cr_assert_not(member.replica.is_current(Time(1000)), "nothing says how old that was");
     member.receive(1100, "a:1", Heartbeat{2, record(2, "a:1"), {}, true, reply.at(0).sent_at});
-    cr_assert(member.replica.current(Time(1100)));
-    cr_assert_not(member.replica.current(Time(21000)));
+    cr_assert(member.replica.is_current(Time(1100)));
+    cr_assert_not(member.replica.is_current(Time(21000)));
     member.receive(21000, "a:1", Heartbeat{3, record(2, "a:1"), {}, true, reply.at(0).sent_at});
-    cr_assert_not(member.replica.current(Time(21000)), "it echoes what was said twenty seconds ago");
+    cr_assert_not(member.replica.is_current(Time(21000)), "it echoes what was said twenty seconds ago");
 }
 
 Test(backup, a_primary_without_a_quorum_makes_nothing_current) {
     ReplicaDriver member(options("b:1", true));
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {}, false, 0});
     member.receive(1100, "a:1", Heartbeat{2, record(2, "a:1"), {}, false, 1000});
-    cr_assert_not(member.replica.current(Time(1100)));
+    cr_assert_not(member.replica.is_current(Time(1100)));
 }
 
 Test(backup, one_that_lacks_the_newest_state_is_not_current) {
     ReplicaDriver member(options("b:1", true));
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {2, 1}, true, 0});
     member.receive(1100, "a:1", Heartbeat{2, record(2, "a:1"), {2, 1}, true, 1000});
-    cr_assert_not(member.replica.current(Time(1100)));
+    cr_assert_not(member.replica.is_current(Time(1100)));
     member.receive(1110, "a:1", CommitNotification{2, {{2, 1}, std::make_shared<const std::string>("x")}});
     member.receive(1200, "a:1", Heartbeat{3, record(2, "a:1"), {2, 1}, true, 1100});
-    cr_assert(member.replica.current(Time(1200)));
+    cr_assert(member.replica.is_current(Time(1200)));
 }
--- a/tests/system/replication/replica_driver.h
+++ b/tests/system/replication/replica_driver.h
@@ -71,16 +71,16 @@
 
     void answer(const Save& save, std::vector<Action>& out) {
         ++saves_;
-        if (mode == DiskMode::refuses || (failed_ && !save.restores)) {
+        if (mode == DiskMode::refuses || (failed_ && !save.is_restoration)) {
             failed_ = true;
-            return feed(SaveFailed{save.ticket}, out);
+            return feed(SaveFailed{save.save_id}, out);
         }
         failed_ = false;
         if (const auto* value = std::get_if<WitnessRegister>(&save.record))
             disk_.witness_register = *value;
         else
             disk_.state = std::get<ReplicatedState>(save.record);
-        feed(Saved{save.ticket}, out);
+        feed(Saved{save.save_id}, out);
     }
 
     Loaded disk_;
--- a/tests/system/replication/shutdown_test.cpp
+++ b/tests/system/replication/shutdown_test.cpp
@@ -15,16 +15,17 @@
     ReplicaDriver member(options("b:1", true));
     member.receive(1000, "a:1", Heartbeat{1, record(2, "a:1"), {}, true, 0});
     member.step(1010, BeginShutdown{});
-    cr_assert_not(member.replica.may_end(Time(1010)), "it is in sync");
+    cr_assert_not(member.replica.is_safe_to_shut_down(Time(1010)), "it is in sync");
     const EpochRecord without{3, "a:1", {"a:1", "c:1"}, three};
     member.receive(1100, "a:1", Heartbeat{2, without, {}, true, 0});
-    cr_assert(member.replica.may_end(Time(1100)), "nobody stands by to be a witness in its place");
+    cr_assert(member.replica.is_safe_to_shut_down(Time(1100)),
+              "nobody stands by to be a witness in its place");
     member.step(1110, PeerConnected{"d:1"});
-    cr_assert_not(member.replica.may_end(Time(1110)), "somebody does");
+    cr_assert_not(member.replica.is_safe_to_shut_down(Time(1110)), "somebody does");
     member.receive(1200, "a:1",
                    Heartbeat{3, {4, "a:1", {"a:1", "c:1", "d:1"}, {"a:1", "c:1", "d:1"}}, {}, true, 0});
-    cr_assert(member.replica.may_end(Time(1200)));
-    cr_assert_not(member.replica.may_end(Time(9000)), "no primary is heard any more");
+    cr_assert(member.replica.is_safe_to_shut_down(Time(1200)));
+    cr_assert_not(member.replica.is_safe_to_shut_down(Time(9000)), "no primary is heard any more");
 }
 
 Test(shutdown, the_member_leaves_the_in_sync_set_where_enough_stay) {
--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -41,7 +41,7 @@
     const ScratchFolder folder;
     const RecordRing ring = open(folder);
     cr_assert_not(ring.newest().has_value());
-    for (const SlotContent content : ring.found())
+    for (const SlotContent content : ring.slot_contents())
         cr_assert(content == SlotContent::empty);
 }
 
@@ -98,7 +98,7 @@
         const bool whole = cut >= first_copy;
         expect_text(ring.newest()->c_str(), whole ? "the third record" : "second",
                     "cut at " + std::to_string(cut));
-        if (cut > 0 && !whole) cr_assert(ring.found()[2] != SlotContent::valid);
+        if (cut > 0 && !whole) cr_assert(ring.slot_contents()[2] != SlotContent::valid);
     }
 }
 
