--- a/src/system/storage/file.cpp
+++ b/src/system/storage/file.cpp
@@ -11,13 +11,13 @@
 namespace willowrill::storage {
 namespace {
 
-constexpr std::size_t chunk_size = 65536;
-constexpr mode_t created_mode = 0644;
+constexpr std::size_t preallocation_chunk_bytes = 65536;
+constexpr mode_t new_file_mode = 0644;
 
 } // namespace
 
 std::optional<File> File::open_or_create(const std::string& path) {
-    const int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, created_mode);
+    const int descriptor = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, new_file_mode);
     if (descriptor < 0) return std::nullopt;
     return File(descriptor);
 }
@@ -45,28 +45,28 @@
 }
 
 std::optional<std::string> File::read(std::size_t offset, std::size_t size) const {
-    std::string out(size, '\0');
-    std::size_t done = 0;
-    while (done < size) {
-        const ssize_t n =
-            ::pread(descriptor_, out.data() + done, size - done, static_cast<off_t>(offset + done));
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0) return std::nullopt;
-        if (n == 0) break;
-        done += static_cast<std::size_t>(n);
+    std::string bytes(size, '\0');
+    std::size_t bytes_done = 0;
+    while (bytes_done < size) {
+        const ssize_t count = ::pread(descriptor_, bytes.data() + bytes_done, size - bytes_done,
+                                      static_cast<off_t>(offset + bytes_done));
+        if (count < 0 && errno == EINTR) continue;
+        if (count < 0) return std::nullopt;
+        if (count == 0) break;
+        bytes_done += static_cast<std::size_t>(count);
     }
-    out.resize(done);
-    return out;
+    bytes.resize(bytes_done);
+    return bytes;
 }
 
 bool File::write(std::size_t offset, std::string_view bytes) {
-    std::size_t done = 0;
-    while (done < bytes.size()) {
-        const ssize_t n = ::pwrite(descriptor_, bytes.data() + done, bytes.size() - done,
-                                   static_cast<off_t>(offset + done));
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
-        done += static_cast<std::size_t>(n);
+    std::size_t bytes_done = 0;
+    while (bytes_done < bytes.size()) {
+        const ssize_t count = ::pwrite(descriptor_, bytes.data() + bytes_done, bytes.size() - bytes_done,
+                                       static_cast<off_t>(offset + bytes_done));
+        if (count < 0 && errno == EINTR) continue;
+        if (count <= 0) return false;
+        bytes_done += static_cast<std::size_t>(count);
     }
     return true;
 }
@@ -74,9 +74,9 @@
 bool File::sync() { return ::fdatasync(descriptor_) == 0; }
 
 void File::preallocate(std::size_t size) {
-    const std::string zeros(std::min(size, chunk_size), '\0');
-    for (std::size_t done = 0; done < size; done += zeros.size())
-        if (::pwrite(descriptor_, zeros.data(), zeros.size(), static_cast<off_t>(done)) < 0) return;
+    const std::string zeros(std::min(size, preallocation_chunk_bytes), '\0');
+    for (std::size_t bytes_done = 0; bytes_done < size; bytes_done += zeros.size())
+        if (::pwrite(descriptor_, zeros.data(), zeros.size(), static_cast<off_t>(bytes_done)) < 0) return;
     ::fsync(descriptor_);
 }
 
--- a/src/system/storage/file.h
+++ b/src/system/storage/file.h
@@ -1,5 +1,5 @@
-// A file that is read and written at stated places. Owns its descriptor. One thread; every call may wait for
-// the disk.
+// A file with positional reads and writes. Owns its descriptor. Not thread-safe; every call may block on the
+// disk.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 class File {
   public:
-    // Nothing where the file cannot be opened; `errno` says why.
+    // Return an empty optional and set `errno` if the file cannot be opened.
     static std::optional<File> open_or_create(const std::string& path);
     static std::optional<File> open(const std::string& path);
 
@@ -21,21 +21,21 @@
     File& operator=(const File&) = delete;
     ~File();
 
-    // Of no bytes, or of a size that cannot be told.
+    // Whether the file has no bytes or its size cannot be determined.
     bool is_empty() const;
-    // Up to so many bytes, fewer at the end of the file; nothing where the disk reports an error.
+    // Reads up to `size` bytes, fewer at the end of the file. Returns an empty optional on an I/O error.
     std::optional<std::string> read(std::size_t offset, std::size_t size) const;
-    // False where not everything was written.
+    // Returns false unless all bytes were written.
     bool write(std::size_t offset, std::string_view bytes);
-    // False where the written bytes may not survive a loss of power.
+    // Makes written bytes durable. Returns false if they may not survive a power failure.
     bool sync();
-    // Fills so many bytes with zeros: room made now is room that a full disk cannot take away later.
+    // Fills the first `size` bytes with zeros, to reserve the space before the disk becomes full.
     void preallocate(std::size_t size);
 
   private:
     explicit File(int descriptor) : descriptor_(descriptor) {}
 
-    int descriptor_ = -1; // -1 once moved from
+    int descriptor_ = -1; // -1 after a move
 };
 
 } // namespace willowrill::storage
--- a/src/system/storage/record_format.cpp
+++ b/src/system/storage/record_format.cpp
@@ -9,7 +9,7 @@
 namespace willowrill::storage {
 namespace {
 
-// In this order and little-endian; the checksum is of the serial and the record.
+// The header on disk: fields in this order, little-endian. The checksum covers the serial and the record.
 struct Header {
     std::array<char, 8> magic;
     std::uint32_t version;
@@ -33,10 +33,10 @@
 std::string encode_copy(std::uint64_t serial, std::string_view record, RecordFormat format) {
     const Header header{magic, static_cast<std::uint32_t>(format), checksum_of(serial, record), serial,
                         record.size()};
-    std::string out(sizeof header, '\0');
-    std::memcpy(out.data(), &header, sizeof header);
-    out.append(record);
-    return out;
+    std::string copy(sizeof header, '\0');
+    std::memcpy(copy.data(), &header, sizeof header);
+    copy.append(record);
+    return copy;
 }
 
 DecodedRecord decode_copy(std::string_view bytes) {
@@ -65,7 +65,7 @@
     return first.content == SlotContent::empty ? second : first;
 }
 
-std::size_t announced_length(std::string_view bytes) {
+std::size_t record_length_in_header(std::string_view bytes) {
     Header header{};
     if (bytes.size() < sizeof header) return 0;
     std::memcpy(&header, bytes.data(), sizeof header);
--- a/src/system/storage/record_ring.cpp
+++ b/src/system/storage/record_ring.cpp
@@ -23,20 +23,20 @@
         if (!ring.open_slot(path))
             return Error{ErrorKind::storage_failed,
                          fmt::format("cannot open {}: {}", path, std::strerror(errno))};
-        std::optional<DecodedRecord> found = ring.read_slot(ring.slots_.back().file);
-        if (!found) return Error{ErrorKind::storage_failed, fmt::format("cannot read {}", path)};
-        ring.found_.push_back(found->content);
-        if (found->content == SlotContent::newer)
+        std::optional<DecodedRecord> decoded = ring.read_slot(ring.slots_.back().file);
+        if (!decoded) return Error{ErrorKind::storage_failed, fmt::format("cannot read {}", path)};
+        ring.slot_contents_.push_back(decoded->content);
+        if (decoded->content == SlotContent::newer)
             return Error{ErrorKind::unsupported_version,
                          fmt::format("{} was written by a later version of this program", path)};
-        if (found->content != SlotContent::valid || found->serial <= ring.serial_) continue;
-        ring.serial_ = found->serial;
-        ring.format_ = found->format;
-        ring.newest_ = std::move(found->record);
+        if (decoded->content != SlotContent::valid || decoded->serial <= ring.serial_) continue;
+        ring.serial_ = decoded->serial;
+        ring.format_ = decoded->format;
+        ring.newest_ = std::move(decoded->record);
         ring.next_slot_ = (index + 1) % slots;
     }
     if (ring.newest_ && !ring.write(std::string(*ring.newest_)))
-        return Error{ErrorKind::storage_failed, fmt::format("cannot write the newest {} anew", name)};
+        return Error{ErrorKind::storage_failed, fmt::format("cannot rewrite the newest {} record", name)};
     return ring;
 }
 
@@ -48,7 +48,7 @@
     return true;
 }
 
-// Nothing where the disk reports an error.
+// Returns an empty optional on an I/O error.
 std::optional<DecodedRecord> RecordRing::read_slot(const File& file) const {
     const auto first = read_copy(file, 0);
     const auto second = read_copy(file, second_copy_offset(record_capacity_));
@@ -56,11 +56,11 @@
     return decode_slot(*first, *second);
 }
 
-// A copy's bytes as far as its own header says they go.
+// Reads a copy's header and as many record bytes as the header states.
 std::optional<std::string> RecordRing::read_copy(const File& file, std::size_t offset) const {
     auto header = file.read(offset, header_size);
     if (!header) return std::nullopt;
-    const std::size_t length = announced_length(*header);
+    const std::size_t length = record_length_in_header(*header);
     if (length == 0 || length > record_capacity_) return header;
     const auto record = file.read(offset + header_size, length);
     if (!record) return std::nullopt;
@@ -70,11 +70,11 @@
 bool RecordRing::write(std::string_view record, RecordFormat format) {
     if (record.size() > record_capacity_) return false;
     Slot& slot = slots_[next_slot_];
-    // A serial is not used twice: one that failed may be there after all.
+    // A serial is never reused: a record whose write failed may be on disk nevertheless.
     const std::string copy = encode_copy(++serial_, record, format);
-    const bool was_suspect = std::exchange(suspect_, true);
-    if (!write_slot(slot, copy) || (was_suspect && !reads_back(slot, copy))) return false;
-    suspect_ = false;
+    const bool previous_write_failed = std::exchange(last_write_failed_, true);
+    if (!write_slot(slot, copy) || (previous_write_failed && !read_back_matches(slot, copy))) return false;
+    last_write_failed_ = false;
     format_ = format;
     next_slot_ = (next_slot_ + 1) % slots_.size();
     newest_ = std::string(record);
@@ -87,12 +87,11 @@
     return written && slot.file.sync();
 }
 
-// An error that a sync reported once may not be reported again: the bytes themselves are looked at, through a
-// file opened anew.
-bool RecordRing::reads_back(Slot& slot, std::string_view copy) {
-    std::optional<File> again = File::open(slot.path);
-    if (!again) return false;
-    slot.file = std::move(*again);
+// Reads the copies back through a reopened file, because the system may report a sync error only once.
+bool RecordRing::read_back_matches(Slot& slot, std::string_view copy) {
+    std::optional<File> reopened = File::open(slot.path);
+    if (!reopened) return false;
+    slot.file = std::move(*reopened);
     return slot.file.read(0, copy.size()) == copy &&
            slot.file.read(second_copy_offset(record_capacity_), copy.size()) == copy;
 }
--- a/tests/system/storage/storage_test.cpp
+++ b/tests/system/storage/storage_test.cpp
@@ -1,4 +1,4 @@
-// The ring of records: what is read after a tear at any byte, and what is told apart.
+// Tests of the record ring and of `ReplicaStore`: torn writes, bit errors, foreign and newer formats.
 #include "system/compression/compression.h"
 #include "system/configuration/control_state.h"
 #include "system/control/replica_store.h"
@@ -19,17 +19,17 @@
 
 namespace {
 
-std::string read(const fs::path& path) {
+std::string read_file(const fs::path& path) {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-void write(const fs::path& path, const std::string& bytes) {
+void write_file(const fs::path& path, const std::string& bytes) {
     std::ofstream(path, std::ios::binary | std::ios::trunc)
         .write(bytes.data(), static_cast<long>(bytes.size()));
 }
 
-RecordRing open(const ScratchFolder& folder) {
+RecordRing open_ring(const ScratchFolder& folder) {
     auto ring = RecordRing::open(folder.path(), "r", 3, 4096);
     cr_assert(static_cast<bool>(ring));
     return std::move(ring.value());
@@ -37,26 +37,26 @@
 
 } // namespace
 
-Test(ring, a_new_one_is_empty) {
+Test(ring, a_new_ring_is_empty) {
     const ScratchFolder folder;
-    const RecordRing ring = open(folder);
+    const RecordRing ring = open_ring(folder);
     cr_assert_not(ring.newest().has_value());
     for (const SlotContent content : ring.slot_contents())
         cr_assert(content == SlotContent::empty);
 }
 
-Test(ring, the_newest_record_is_read_back_round_and_round) {
+Test(ring, the_newest_record_is_read_back_after_each_reopening) {
     const ScratchFolder folder;
     for (int i = 0; i < 20; ++i) {
-        RecordRing ring = open(folder);
+        RecordRing ring = open_ring(folder);
         if (i > 0) expect_text(ring.newest()->c_str(), ("record " + std::to_string(i - 1)).c_str());
         cr_assert(ring.write("record " + std::to_string(i)));
     }
 }
 
-Test(ring, files_are_made_once_and_do_not_grow) {
+Test(ring, files_are_created_once_and_do_not_grow) {
     const ScratchFolder folder;
-    RecordRing ring = open(folder);
+    RecordRing ring = open_ring(folder);
     const auto before = fs::file_size(folder.path() / "r-0.ring");
     for (int i = 0; i < 9; ++i)
         ring.write(std::string(1000, 'x'));
@@ -77,79 +77,78 @@
 
 } // namespace
 
-// The write of a record may stop at any byte: what was there before is read, or the whole new one.
-Test(ring, a_tear_at_any_byte_leaves_the_record_before) {
+// A write may be cut off at any byte; afterwards either the previous or the complete new record is read.
+Test(ring, a_write_torn_at_any_byte_leaves_the_previous_record) {
     const ScratchFolder folder;
     {
-        RecordRing ring = open(folder);
+        RecordRing ring = open_ring(folder);
         ring.write("first");
         ring.write("second");
     }
     const fs::path third = folder.path() / "r-2.ring";
-    const std::string old = read(third), fresh = slot_bytes(3, "the third record");
+    const std::string old_bytes = read_file(third), new_bytes = slot_bytes(3, "the third record");
     const std::size_t first_copy = encode_copy(3, "the third record").size();
-    for (std::size_t cut = 0; cut <= fresh.size(); cut += cut < 2 * first_copy ? 1 : 7) {
+    for (std::size_t cut = 0; cut <= new_bytes.size(); cut += cut < 2 * first_copy ? 1 : 7) {
         const ScratchFolder copy;
         fs::copy(folder.path(), copy.path(), fs::copy_options::recursive);
-        std::string torn = old;
-        torn.replace(0, cut, fresh.substr(0, cut));
-        write(copy.path() / "r-2.ring", torn);
-        const RecordRing ring = open(copy);
-        const bool whole = cut >= first_copy;
-        expect_text(ring.newest()->c_str(), whole ? "the third record" : "second",
+        std::string torn = old_bytes;
+        torn.replace(0, cut, new_bytes.substr(0, cut));
+        write_file(copy.path() / "r-2.ring", torn);
+        const RecordRing ring = open_ring(copy);
+        const bool is_complete = cut >= first_copy;
+        expect_text(ring.newest()->c_str(), is_complete ? "the third record" : "second",
                     "cut at " + std::to_string(cut));
-        if (cut > 0 && !whole) cr_assert(ring.slot_contents()[2] != SlotContent::valid);
+        if (cut > 0 && !is_complete) cr_assert(ring.slot_contents()[2] != SlotContent::valid);
     }
 }
 
-// A bit that rots in the newest record must not make the one before it the newest.
+// Guards against falling back to the previous record after a bit error in the newest one.
 Test(ring, a_flipped_bit_in_the_newest_record_loses_nothing) {
     const ScratchFolder folder;
     {
-        RecordRing ring = open(folder);
+        RecordRing ring = open_ring(folder);
         ring.write("first");
         ring.write("second");
     }
     const fs::path newest = folder.path() / "r-1.ring";
-    const std::string good = read(newest);
+    const std::string valid_bytes = read_file(newest);
     const std::size_t length = encode_copy(2, "second").size();
     for (const std::size_t start : {std::size_t{0}, second_copy_offset(record_capacity)}) {
-        for (std::size_t at = start; at < start + length; ++at) {
+        for (std::size_t offset = start; offset < start + length; ++offset) {
             const ScratchFolder copy;
             fs::copy(folder.path(), copy.path(), fs::copy_options::recursive);
-            std::string bad = good;
-            bad[at] = static_cast<char>(bad[at] ^ 0x10);
-            write(copy.path() / "r-1.ring", bad);
-            expect_text(open(copy).newest()->c_str(), "second", "byte " + std::to_string(at));
+            std::string damaged_bytes = valid_bytes;
+            damaged_bytes[offset] = static_cast<char>(damaged_bytes[offset] ^ 0x10);
+            write_file(copy.path() / "r-1.ring", damaged_bytes);
+            expect_text(open_ring(copy).newest()->c_str(), "second", "byte " + std::to_string(offset));
         }
     }
 }
 
-Test(ring, a_flipped_bit_anywhere_is_noticed) {
-    const std::string good = encode_copy(5, "payload");
-    for (std::size_t at = 0; at < good.size(); ++at) {
-        std::string bad = good;
-        bad[at] = static_cast<char>(bad[at] ^ 0x10);
-        cr_assert(decode_copy(bad).content != SlotContent::valid, "byte %zu", at);
+Test(ring, a_flipped_bit_anywhere_is_detected) {
+    const std::string valid_bytes = encode_copy(5, "payload");
+    for (std::size_t offset = 0; offset < valid_bytes.size(); ++offset) {
+        std::string damaged_bytes = valid_bytes;
+        damaged_bytes[offset] = static_cast<char>(damaged_bytes[offset] ^ 0x10);
+        cr_assert(decode_copy(damaged_bytes).content != SlotContent::valid, "byte %zu", offset);
     }
 }
 
-// What a killed process wrote may stand in the system's cache alone: a reader makes it durable before it
-// counts.
-Test(ring, what_is_read_is_written_anew) {
+// A record written by a killed process may only be in the page cache, so opening the ring rewrites it.
+Test(ring, the_newest_record_is_rewritten_on_open) {
     const ScratchFolder folder;
     {
-        RecordRing ring = open(folder);
+        RecordRing ring = open_ring(folder);
         ring.write("first");
     }
-    const std::string before = read(folder.path() / "r-1.ring");
-    open(folder);
-    cr_assert(read(folder.path() / "r-1.ring") != before);
+    const std::string before = read_file(folder.path() / "r-1.ring");
+    open_ring(folder);
+    cr_assert(read_file(folder.path() / "r-1.ring") != before);
     fs::remove(folder.path() / "r-0.ring");
-    expect_text(open(folder).newest()->c_str(), "first");
+    expect_text(open_ring(folder).newest()->c_str(), "first");
 }
 
-Test(ring, foreign_and_newer_are_told_apart) {
+Test(ring, foreign_and_newer_content_is_distinguished) {
     std::string newer = encode_copy(1, "x");
     newer[8] = 9; // the version
     cr_assert(decode_copy("something else that is long enough for a head").content == SlotContent::foreign);
@@ -160,15 +159,15 @@
 Test(ring, a_record_longer_than_the_capacity_is_refused) {
     const ScratchFolder folder;
     {
-        RecordRing ring = open(folder);
+        RecordRing ring = open_ring(folder);
         cr_assert(ring.write(std::string(record_capacity, 'x')));
         cr_assert_not(ring.write(std::string(record_capacity + 1, 'y')));
         cr_assert_eq(ring.newest()->size(), record_capacity);
     }
-    expect_text(*open(folder).newest(), std::string(record_capacity, 'x'));
+    expect_text(*open_ring(folder).newest(), std::string(record_capacity, 'x'));
 }
 
-Test(ring, a_folder_that_is_not_there_is_an_error) {
+Test(ring, a_missing_folder_is_an_error) {
     const auto ring = RecordRing::open("/nonexistent/folder", "r", 3, 4096);
     cr_assert_not(static_cast<bool>(ring));
     cr_assert(ring.error().kind == willowrill::errors::ErrorKind::storage_failed);
@@ -184,7 +183,7 @@
 
 } // namespace
 
-Test(disk, register_and_state_come_back) {
+Test(disk, register_and_state_are_loaded_after_reopening) {
     using namespace willowrill::replication;
     const ScratchFolder folder;
     const EpochRecord record{4, "a:1", {"a:1", "b:1"}, {"a:1", "b:1", "c:1"}};
@@ -202,13 +201,13 @@
     expect_text(found.state->content->c_str(), "content\nmore");
 }
 
-// The largest state that an order may ask for is kept whole; one beyond the room is refused, and so is what
-// comes behind it, until the member starts to restore its records.
-Test(disk, after_a_refused_record_all_are_refused_until_it_restores) {
+// A state of the maximum size is stored. A larger one fails, and so do all further saves until one that is a
+// restoration.
+Test(disk, after_a_failed_save_all_saves_fail_until_a_restoration) {
     using namespace willowrill::replication;
     const ScratchFolder folder;
     const auto disk = open_disk(folder);
-    // Random bytes, which no packing makes shorter.
+    // Random bytes, which cannot be compressed.
     const auto random_state = [](std::size_t bytes) {
         std::mt19937_64 random(5);
         std::string out;
@@ -226,7 +225,7 @@
     cr_assert(*open_disk(folder)->load().state->content == *large);
 }
 
-Test(disk, a_long_state_is_packed_and_a_damaged_one_is_not_taken_for_another) {
+Test(disk, a_long_state_is_compressed_and_damaged_data_is_rejected) {
     using namespace willowrill::replication;
     const ScratchFolder folder;
     const auto content = std::make_shared<const std::string>(willowrill::configuration::max_state_bytes, 'x');
@@ -239,7 +238,7 @@
     expect_text(*willowrill::compression::decompress("{plain}", 10), "{plain}");
 }
 
-Test(ring, a_record_of_a_later_program_is_refused_by_name_and_nothing_is_written) {
+Test(ring, a_record_of_a_later_version_is_an_error_naming_the_file_and_nothing_is_written) {
     const ScratchFolder scratch;
     {
         auto ring = RecordRing::open(scratch.path(), "state", 3, 100);
@@ -264,7 +263,7 @@
     cr_assert(found == newer);
 }
 
-Test(ring, the_format_of_the_newest_record_is_kept_over_a_start) {
+Test(ring, the_format_of_the_newest_record_is_kept_across_a_restart) {
     const ScratchFolder scratch;
     {
         auto ring = RecordRing::open(scratch.path(), "state", 3, 100);
