--- a/src/system/membership/lease_table.cpp
+++ b/src/system/membership/lease_table.cpp
@@ -15,12 +15,12 @@
     Entry& entry = found->second;
     const bool same_incarnation = entry.lease.incarnation == lease.incarnation;
     if (same_incarnation && lease.renewal <= entry.lease.renewal) return false;
-    if (!same_incarnation && source == Source::core_member) return false; // the known one lapses first
+    if (!same_incarnation && source == Source::core_member) return false; // the known lease must expire first
     if (!same_incarnation) ended_incarnations_[lease.node] = entry.lease.incarnation;
-    Lease before = entry.lease;
-    before.renewal = lease.renewal;
+    Lease previous = entry.lease;
+    previous.renewal = lease.renewal;
     entry = {lease, now};
-    return !(before == lease);
+    return !(previous == lease);
 }
 
 bool LeaseTable::extend(Time now, const std::string& node, std::uint64_t incarnation) {
@@ -45,11 +45,11 @@
 }
 
 std::vector<Lease> LeaseTable::leases() const {
-    std::vector<Lease> out;
-    out.reserve(entries_.size());
+    std::vector<Lease> leases_by_node;
+    leases_by_node.reserve(entries_.size());
     for (const auto& [node, entry] : entries_)
-        out.push_back(entry.lease);
-    return out;
+        leases_by_node.push_back(entry.lease);
+    return leases_by_node;
 }
 
 } // namespace willowrill::membership
--- a/src/system/membership/lease_table.h
+++ b/src/system/membership/lease_table.h
@@ -1,6 +1,6 @@
-// Membership by leases: each scheduler renews its own at a core member, and core members replicate them to
-// each other. Knows no connections and no clock but the times it is given. Bounded: at most `max_leases`.
-// One thread.
+// Membership by leases: each scheduler renews its lease at a core member, and core members replicate the
+// renewals to each other. Has no connections and no clock; callers pass the time. Holds at most `max_leases`
+// leases. Not thread-safe.
 #pragma once
 
 #include "system/protocol/version.h"
@@ -13,50 +13,50 @@
 
 namespace willowrill::membership {
 
-using Time = std::chrono::milliseconds; // steady
+using Time = std::chrono::milliseconds; // of a steady clock
 
 enum class Phase {
-    starting, // knows no configuration yet
-    ready,    // takes clients
-    leaving   // serves those it has, and is to get no more
+    starting, // has no configuration yet
+    ready,    // accepts clients
+    leaving   // serves its existing clients and accepts no new ones
 };
 
-// What a scheduler says of itself when it renews.
+// The data that a scheduler sends with each renewal.
 struct Lease {
     std::string node;
-    std::uint64_t incarnation = 0; // drawn anew at each start of the process
-    std::uint64_t renewal = 0;     // counts up within an incarnation
+    std::uint64_t incarnation = 0; // random number chosen at each start of the process
+    std::uint64_t renewal = 0;     // increases within an incarnation
     std::string zone;
     std::string region;
     std::string client_address; // where clients connect, HOST:PORT
     std::string peer_address;   // where other schedulers connect, HOST:PORT
     Phase phase = Phase::starting;
-    protocol::VersionRange versions; // of the protocol, that its holder speaks
+    protocol::VersionRange versions; // protocol versions that the holder supports
     bool operator==(const Lease&) const = default;
 };
 
-// Where a renewal comes from: its holder, or another core member, by which it may come late.
+// The sender of a renewal: the holder itself, or another core member, whose copy may arrive late.
 enum class Source { holder, core_member };
 
 inline constexpr std::size_t max_leases = 4096;
 
 class LeaseTable {
   public:
-    // `duration`: how long a lease lasts from its renewal on.
+    // `duration`: how long a lease is valid after its renewal.
     explicit LeaseTable(Time duration) : duration_(duration) {}
 
-    // Takes in a renewal; one that is older than what is known, or of an incarnation that has ended, changes
-    // nothing. True where the membership changed beyond the renewal's number.
+    // Applies a renewal, unless it is older than the known one or belongs to an ended incarnation. Returns
+    // true if the lease is new or a field other than the renewal number changed.
     bool renew(Time now, const Lease& lease, Source source);
-    // This incarnation of the holder goes on renewing at another core member. False where no lease of the
-    // node is known; of another incarnation nothing is changed.
+    // Extends a lease whose holder keeps renewing at another core member. Returns false if no lease of the
+    // node is known. A lease of another incarnation is not changed.
     bool extend(Time now, const std::string& node, std::uint64_t incarnation);
-    // Ends a lease at once, as its holder's connection has broken. True where it was known.
+    // Ends a lease immediately, because its holder's connection is closed. Returns true if it was known.
     bool end(const std::string& node, std::uint64_t incarnation);
-    // Removes the leases that have lapsed. True where there were any.
+    // Removes expired leases. Returns true if there were any.
     bool expire(Time now);
 
-    // In the order of their nodes.
+    // All leases, ordered by node.
     std::vector<Lease> leases() const;
     std::size_t size() const { return entries_.size(); }
 
@@ -67,7 +67,7 @@
     };
     Time duration_;
     std::map<std::string, Entry> entries_; // by node
-    // Incarnations that have ended, by node, so that a late renewal does not revive them.
+    // The last ended incarnation of each node, so that a late renewal does not revive it.
     std::map<std::string, std::uint64_t> ended_incarnations_;
 };
 
--- a/tests/system/membership/lease_table_test.cpp
+++ b/tests/system/membership/lease_table_test.cpp
@@ -1,4 +1,4 @@
-// Leases: when they lapse, and which renewals count.
+// Tests of leases: expiry, and which renewals are applied.
 #include "system/membership/codec.h"
 #include "system/membership/lease_table.h"
 
@@ -13,11 +13,11 @@
 using membership::Source;
 using membership::Time;
 
-Test(lease_table, leases_lapse_unless_they_are_renewed) {
+Test(lease_table, leases_expire_unless_they_are_renewed) {
     LeaseTable table(Time(2000));
     cr_assert(table.renew(Time(0), make_lease("a1", 1, 1), Source::holder));
     cr_assert_not(table.renew(Time(1500), make_lease("a1", 1, 2), Source::holder),
-                  "a mere renewal changes no view");
+                  "a renewal without other changes leaves the membership unchanged");
     cr_assert_not(table.expire(Time(3500)));
     cr_assert(table.expire(Time(3501)));
     cr_assert_eq(table.size(), 0U);
@@ -30,7 +30,7 @@
     cr_assert_not(table.renew(Time(20), make_lease("a1", 1, 6), Source::core_member));
     cr_assert_eq(table.leases()[0].incarnation, 2U);
     cr_assert_not(table.renew(Time(30), make_lease("a1", 3, 1), Source::core_member),
-                  "only the holder starts anew here");
+                  "only the holder may start a new incarnation");
     cr_assert(table.end("a1", 2));
     cr_assert_not(table.renew(Time(40), make_lease("a1", 2, 9), Source::core_member));
     cr_assert_eq(table.size(), 0U);
