--- a/src/system/replication/actions.h
+++ b/src/system/replication/actions.h
@@ -1,4 +1,4 @@
-// What a replica asks its caller to do.
+// Actions that a replica returns for its caller to carry out.
 #pragma once
 
 #include "system/replication/messages.h"
@@ -9,16 +9,16 @@
 
 namespace willowrill::replication {
 
-// A message may be lost; messages to one member that arrive do so in the order of their sending, but for late
-// copies of earlier ones.
+// Sends a message to another member. Messages may be lost. Those that arrive at one member arrive in the
+// order in which they were sent, except for late duplicates of earlier messages.
 struct Send {
     MemberId to;
     Message message;
 };
 
-// To be answered by `Saved` or `SaveFailed`, each save once and in their order. After a failure all are to
-// fail, unseen by the disk, up to the next one that `restores`: what was asked for before the failure was
-// known may only make sense behind the record that failed.
+// Stores a record durably. The caller answers every save exactly once, in order, with `Saved` or
+// `SaveFailed`. After a failure the caller fails all further saves without writing them, until the next one
+// with `is_restoration` set: saves issued before the failure was known may depend on the record that failed.
 struct Save {
     SaveId save_id = 0;
     DiskRecord record;
@@ -29,7 +29,8 @@
     std::uint64_t id = 0;
 };
 
-// Of a proposal: it may or may not be committed. Of a confirmation: this member may not be the primary.
+// The proposal may or may not be committed, or this member may no longer be the primary (for a leadership
+// confirmation).
 struct OutcomeUnknown {
     std::uint64_t id = 0;
 };
@@ -38,7 +39,7 @@
     std::uint64_t id = 0;
 };
 
-// `Replica::committed` has a newer state.
+// `Replica::committed` returns a newer state than before.
 struct StateChanged {};
 
 using Action = std::variant<Send, Save, Committed, OutcomeUnknown, LeadershipConfirmed, StateChanged>;
--- a/src/system/replication/codec.cpp
+++ b/src/system/replication/codec.cpp
@@ -13,8 +13,8 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Position, epoch, sequence)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(EpochRecord, epoch, primary, in_sync, witnesses)
 
-// Where a member's name differs from its key, the key is older: versions that run side by side must agree on
-// it. NOLINTBEGIN(readability-identifier-naming): the library looks these names up
+// Some JSON keys differ from the member names: the keys are part of the wire format and stay the same for
+// versions that run side by side. NOLINTBEGIN(readability-identifier-naming): names required by the library
 void to_json(Json& json, const WitnessRegister& value) {
     json = Json{{"promised", value.promised},
                 {"accepted", value.accepted},
@@ -99,53 +99,58 @@
 
 namespace {
 
-// In the order of the variant's alternatives.
-constexpr std::array<const char*, std::variant_size_v<Message>> names{
+// Type names on the wire, in the order of the alternatives of `Message`.
+constexpr std::array<const char*, std::variant_size_v<Message>> message_type_names{
     "promise",   "promise-reply",   "fetch",         "fetch-reply",
     "install",   "install-reply",   "accept",        "accept-reply",
     "replicate", "replicate-reply", "heartbeat",     "heartbeat-reply",
     "learn",     "recover",         "recover-reply", "yield"};
 
-template <std::size_t I> bool decode_alternative(const std::string& name, const Json& json, Message& out) {
-    if (name != names[I]) return false;
-    out = json.get<std::variant_alternative_t<I, Message>>();
+template <std::size_t I>
+bool decode_alternative(const std::string& name, const Json& json, Message& message) {
+    if (name != message_type_names[I]) return false;
+    message = json.get<std::variant_alternative_t<I, Message>>();
     return true;
 }
 
 template <std::size_t... I>
-bool decode_any(const std::string& name, const Json& json, Message& out, std::index_sequence<I...> /*all*/) {
-    return (decode_alternative<I>(name, json, out) || ...);
+bool decode_any(const std::string& name, const Json& json, Message& message,
+                std::index_sequence<I...> /*all*/) {
+    return (decode_alternative<I>(name, json, message) || ...);
 }
 
 } // namespace
 
 Json encode(const Message& message) {
     Json json = std::visit([](const auto& m) { return Json(m); }, message);
-    json["type"] = names[message.index()];
+    json["type"] = message_type_names[message.index()];
     return json;
 }
 
-bool is_known_message_type(const std::string& type) { return std::ranges::count(names, type) > 0; }
+bool is_known_message_type(const std::string& type) {
+    return std::ranges::count(message_type_names, type) > 0;
+}
 
 Message decode_message(const Json& json) {
-    Message out;
+    Message message;
     const auto name = json.at("type").get<std::string>();
-    if (!decode_any(name, json, out, std::make_index_sequence<std::variant_size_v<Message>>()))
+    if (!decode_any(name, json, message, std::make_index_sequence<std::variant_size_v<Message>>()))
         throw Json::other_error::create(501, "unknown message type", &json);
-    return out;
+    return message;
 }
 
 std::string encode_register(const WitnessRegister& value) { return Json(value).dump(); }
 WitnessRegister decode_register(const std::string& text) { return Json::parse(text).get<WitnessRegister>(); }
 
-// The position in a line of its own, then the content as it is.
+// The position as JSON on the first line, then the unmodified content.
 std::string encode_state(const ReplicatedState& value) {
     return Json(value.position).dump() + "\n" + *value.content;
 }
 
 ReplicatedState decode_state(const std::string& text) {
     const std::size_t line = text.find('\n');
-    if (line == std::string::npos) return Json::parse(text).get<ReplicatedState>(); // of version 1
+    if (line == std::string::npos)
+        return Json::parse(text).get<ReplicatedState>(); // format of version 1: one JSON object
     return {Json::parse(text.substr(0, line)).get<Position>(),
             std::make_shared<const std::string>(text.substr(line + 1))};
 }
--- a/src/system/replication/codec.h
+++ b/src/system/replication/codec.h
@@ -1,5 +1,5 @@
-// Messages and durable records of replication as JSON, both ways. Decoding throws `nlohmann::json::exception`
-// on anything that is not such a message; the caller drops the connection that it came on.
+// Encodes and decodes the messages and durable records of replication as JSON. Decoding throws
+// `nlohmann::json::exception` on invalid input; the caller then closes the connection it came from.
 #pragma once
 
 #include "system/replication/messages.h"
@@ -13,7 +13,7 @@
 
 nlohmann::json encode(const Message& message);
 Message decode_message(const nlohmann::json& json);
-// Whether a message of this type is known to this version.
+// Whether this version can decode messages of the given type.
 bool is_known_message_type(const std::string& type);
 
 std::string encode_register(const WitnessRegister& value);
--- a/src/system/replication/deferred_action.h
+++ b/src/system/replication/deferred_action.h
@@ -1,4 +1,5 @@
-// What a replica does only once the records that it vouches for are durable: a message, or a step of its own.
+// Actions that a replica defers until the records they depend on are durable: sending a message, or the next
+// step of an election, a proposal or a restoration.
 #pragma once
 
 #include "system/replication/actions.h"
@@ -8,27 +9,27 @@
 
 namespace willowrill::replication {
 
-// The candidate's own prepare is durable: the others may be asked.
+// The candidate's own promise is durable: it may send prepare requests to the other members.
 struct SendPrepareRequests {
     Epoch epoch = 0;
 };
 
-// The state that the candidate fetched is durable here.
+// The state fetched by the candidate is durable: it may be installed on the other members.
 struct StartInstall {
     Epoch epoch = 0;
 };
 
-// The candidate has stored the record of the new epoch itself.
+// The candidate's own copy of the new epoch's record is durable: it may send accept requests.
 struct SendAcceptRequests {
     Epoch epoch = 0;
 };
 
-// The primary's own copy of a proposed state is durable.
+// The primary's own copy of a proposed state is durable and counts towards the commit.
 struct CountOwnCopy {
     Position position;
 };
 
-// Both records were written anew after a failure.
+// Both records were rewritten successfully after a failed save.
 struct FinishRestoration {};
 
 using DeferredAction = std::variant<Send, SendPrepareRequests, StartInstall, SendAcceptRequests, CountOwnCopy,
--- a/src/system/replication/election.cpp
+++ b/src/system/replication/election.cpp
@@ -16,10 +16,10 @@
 }
 
 std::set<MemberId> Election::granted_by() const {
-    std::set<MemberId> out;
+    std::set<MemberId> members;
     for (const auto& [id, reply] : replies_)
-        out.insert(id);
-    return out;
+        members.insert(id);
+    return members;
 }
 
 const EpochRecord& Election::highest_accepted(const WitnessRegister& own) const {
@@ -56,7 +56,7 @@
 
 void Election::plan(EpochRecord record, std::vector<std::vector<MemberId>> groups) {
     planned_ = std::move(record);
-    groups_ = std::move(groups);
+    accept_groups_ = std::move(groups);
 }
 
 void Election::begin_accept(Time now) {
@@ -65,15 +65,16 @@
 }
 
 std::set<MemberId> Election::accept_recipients() const {
-    std::set<MemberId> out;
-    for (const std::vector<MemberId>& group : groups_)
-        out.insert(group.begin(), group.end());
-    return out;
+    std::set<MemberId> recipients;
+    for (const std::vector<MemberId>& group : accept_groups_)
+        recipients.insert(group.begin(), group.end());
+    return recipients;
 }
 
 bool Election::is_accepted() const {
-    return std::ranges::all_of(
-        groups_, [this](const std::vector<MemberId>& group) { return has_quorum(group, accepted_by_); });
+    return std::ranges::all_of(accept_groups_, [this](const std::vector<MemberId>& group) {
+        return has_quorum(group, accepted_by_);
+    });
 }
 
 } // namespace willowrill::replication
--- a/src/system/replication/election_backoff.h
+++ b/src/system/replication/election_backoff.h
@@ -1,5 +1,5 @@
-// When this member may start an election again. A member that won and could not serve would win again: it
-// waits longer each time, so that others come first. One thread.
+// Decides when this member may start another election. A member that wins an election but cannot serve would
+// win again, so it waits longer each time and lets other members become primary. Not thread-safe.
 #pragma once
 
 #include "system/replication/timing.h"
@@ -12,26 +12,27 @@
   public:
     explicit ElectionBackoff(const Timing& timing);
 
-    // At the first tick: a primary that serves gets the time to be heard, unless something was set before.
-    void begin(Time now);
-    // No election before this time.
-    void wait_until(Time at);
-    // This member won and could not serve.
+    // Called on every tick. The first call delays elections until a serving primary could be heard, unless a
+    // delay is already set.
+    void start(Time now);
+    // Prevents elections before this time.
+    void postpone_until(Time at);
+    // Doubles the backoff, up to its maximum: this member won an election but could not serve.
     void back_off(Time now);
-    // This member has served.
+    // Resets the backoff: this member has served as primary for long enough.
     void reset() { backoff_ = Time{0}; }
 
-    bool is_over(Time now) const { return !not_before_ || now >= *not_before_; }
+    bool has_elapsed(Time now) const { return !not_before_ || now >= *not_before_; }
 
-    // Shows a visitor all that decides what happens next: `visitor(fields...)`. For searches through states
-    // (src/system/verification); counters are shown as distances, as only these matter.
+    // Passes every field that influences future behaviour to `visitor(fields...)`, for the model checker in
+    // src/system/verification. Counters are passed as differences, because only these affect behaviour.
     template <class Visitor> void visit_state(Visitor& visitor) const {
         visitor(not_before_, backoff_.count());
     }
 
   private:
     Time first_election_;
-    Time first_, max_;
+    Time initial_backoff_, max_backoff_;
     std::optional<Time> not_before_;
     Time backoff_{0};
 };
--- a/src/system/replication/events.h
+++ b/src/system/replication/events.h
@@ -1,4 +1,4 @@
-// What a replica takes in.
+// Events that the caller passes to a replica.
 #pragma once
 
 #include "system/replication/messages.h"
@@ -11,21 +11,21 @@
 
 namespace willowrill::replication {
 
-// Comes at least every 50 ms or so: all timeouts are looked at here.
+// Passed about every 50 ms; all timeouts are checked here.
 struct Tick {};
 
-// What the disk held at the start.
+// The records found on disk at startup.
 struct Loaded {
     std::optional<WitnessRegister> witness_register;
     std::optional<ReplicatedState> state;
 };
 
-// The record of this save survives any loss of power.
+// The record of this save is durable, also across a power failure.
 struct Saved {
     SaveId save_id = 0;
 };
 
-// The disk refused the record, or reported an error after taking it: it may be there or not.
+// The disk rejected the record or reported an error after writing it. The record may or may not be stored.
 struct SaveFailed {
     SaveId save_id = 0;
 };
@@ -43,21 +43,21 @@
     MemberId peer;
 };
 
-// Asks for a new state to be committed; one at a time. Answered by `Committed` or `OutcomeUnknown` with the
-// caller's `id`. Not taken where another state than `based_on` is the newest.
+// Proposes a new state; only one proposal may be pending. Answered by `Committed` or `OutcomeUnknown` with
+// the caller's `id`. Rejected with `OutcomeUnknown` unless `based_on` is the position of the newest state.
 struct Propose {
     std::uint64_t id = 0;
     Position based_on;
     std::string content;
 };
 
-// Asks whether this member is still the primary at a moment after the question. Answered by
+// Asks for proof that this member was still the primary at some moment after this event. Answered by
 // `LeadershipConfirmed` or `OutcomeUnknown` with the caller's `id`.
 struct ConfirmLeadership {
     std::uint64_t id = 0;
 };
 
-// The process is about to end.
+// The process is shutting down.
 struct BeginShutdown {};
 
 using Event = std::variant<Tick, Loaded, Saved, SaveFailed, Received, PeerConnected, PeerDisconnected,
--- a/src/system/replication/leadership_confirmations.h
+++ b/src/system/replication/leadership_confirmations.h
@@ -1,5 +1,5 @@
-// Questions whether this member still is the primary, each of which waits for a round of heartbeats that was
-// sent after it. One thread.
+// Pending requests to confirm that this member is still the primary. Each waits until a quorum has answered a
+// round of heartbeats that was sent after the request. Not thread-safe.
 #pragma once
 
 #include "system/replication/timing.h"
@@ -13,26 +13,26 @@
 
 class LeadershipConfirmations {
   public:
-    // The caller's id of the question.
+    // The caller's id of the request.
     using Id = std::uint64_t;
 
-    // `heartbeat`: the round that must be answered.
+    // `heartbeat`: the round that a quorum must answer.
     void add(Id id, std::uint64_t heartbeat, Time now) { waiting_[id] = {heartbeat, now}; }
-    // A new epoch numbers its answers anew: all wait for this round from now on.
+    // Makes all pending requests wait for this round: answers to earlier rounds are discarded in a new epoch.
     void wait_for(std::uint64_t heartbeat);
-    // Removes and returns those whose round was answered, as the caller knows, by enough members.
+    // Removes and returns the requests whose round was answered by a quorum, as decided by `answered`.
     std::vector<Id> take_answered(const std::function<bool(std::uint64_t heartbeat)>& answered);
-    // Removes and returns those that have waited for longer than this.
+    // Removes and returns the requests that have waited for longer than `timeout`.
     std::vector<Id> take_expired(Time now, Time timeout);
     std::vector<Id> take_all();
 
-    // `newest_heartbeat`: the round sent last. Shows a visitor all that decides what happens next:
-    // `visitor(fields...)`. For searches through states (src/system/verification); counters are shown as
-    // distances, as only these matter.
+    // Passes every field that influences future behaviour to `visitor(fields...)`, for the model checker in
+    // src/system/verification. Counters are passed as differences, because only these affect behaviour.
+    // `newest_heartbeat`: the number of the newest round.
     template <class Visitor> void visit_state(Visitor& visitor, std::uint64_t newest_heartbeat) const {
         visitor(waiting_.size());
-        for (const auto& [id, one] : waiting_)
-            visitor(id, newest_heartbeat - one.heartbeat, one.since);
+        for (const auto& [id, confirmation] : waiting_)
+            visitor(id, newest_heartbeat - confirmation.heartbeat, confirmation.since);
     }
 
   private:
--- a/src/system/replication/membership_plan.cpp
+++ b/src/system/replication/membership_plan.cpp
@@ -25,7 +25,7 @@
         id = candidates.back();
         candidates.pop_back();
     }
-    // By two at a time: one more of an even number bears no further loss, and asks for a larger quorum.
+    // Adds two at a time: an even number of witnesses needs a larger quorum and tolerates no further loss.
     while (candidates.size() >= 2 && current.size() + 2 <= full_count) {
         current.insert(current.end(), candidates.end() - 2, candidates.end());
         candidates.resize(candidates.size() - 2);
--- a/src/system/replication/membership_plan.h
+++ b/src/system/replication/membership_plan.h
@@ -1,4 +1,4 @@
-// Who are the members of the next epoch. Pure.
+// Pure functions that choose the members of the next epoch.
 #pragma once
 
 #include "system/replication/messages.h"
@@ -11,20 +11,21 @@
 
 namespace willowrill::replication {
 
-using PrepareReplies = std::map<MemberId, PrepareReply>; // of those who granted, by member
+using PrepareReplies = std::map<MemberId, PrepareReply>; // granted replies, by member
 
-// A backup's place in the order in which backups start an election: in-sync members with a complete state
-// come first, in the order after the last primary, from 0; then all others, with one rank.
+// The rank of a backup in the order in which backups start an election. In-sync members with a complete state
+// rank from 0, in the order of the in-sync set starting at the last primary. All others share one higher
+// rank.
 std::size_t succession_rank(const MemberId& self, const WitnessRegister& known);
 
-// Grows the witnesses to `full_count`, and replaces those that `may_replace` names, as far as there are
-// candidates. The last candidates come first. Sorted.
+// Replaces the witnesses for which `may_replace` holds and then grows the set up to `full_count`, as far as
+// there are candidates. Candidates are taken from the back. The result is sorted.
 std::vector<MemberId> next_witnesses(std::vector<MemberId> current, std::vector<MemberId> candidates,
                                      const std::function<bool(const MemberId&)>& may_replace,
                                      std::size_t full_count);
 
-// The witnesses that granted the prepare and stay, and this member; those that shut down only where there are
-// fewer than `min_count` others.
+// The witnesses that granted the prepare request and are not shutting down, and this member. Members that
+// shut down are included only while the set has fewer than `min_count` members.
 std::vector<MemberId> next_in_sync(const MemberId& self, const std::vector<MemberId>& witnesses,
                                    const PrepareReplies& replies, std::size_t min_count);
 
--- a/src/system/replication/messages.h
+++ b/src/system/replication/messages.h
@@ -1,5 +1,5 @@
-// What members of the core say to each other. Any message may be lost, and a late copy of one may come long
-// after it; replies name the epoch of their request. `codec.h` has their form on the wire.
+// Messages between members of the core. Any message may be lost, and a duplicate may arrive long after the
+// original; replies carry the epoch of their request. codec.h defines the wire format.
 #pragma once
 
 #include "system/replication/types.h"
@@ -9,7 +9,8 @@
 
 namespace willowrill::replication {
 
-// Asks a witness to take part in no epoch below this one. `pre_vote`: only asks whether it would.
+// Asks a witness to promise not to take part in epochs below this one. `pre_vote`: only asks whether it would
+// grant the promise.
 struct PrepareRequest {
     Epoch epoch = 0;
     bool pre_vote = false;
@@ -24,7 +25,7 @@
     Position position;
 };
 
-// The candidate of `epoch` asks for the state of the member that holds the newest one.
+// The candidate of `epoch` requests the state from the member that holds the newest one.
 struct FetchRequest {
     Epoch epoch = 0;
 };
@@ -34,7 +35,7 @@
     ReplicatedState state;
 };
 
-// The candidate of `epoch` gives a future in-sync member the state to start from.
+// The candidate of `epoch` sends a future in-sync member the initial state of the epoch.
 struct InstallRequest {
     Epoch epoch = 0;
     ReplicatedState state;
@@ -56,7 +57,7 @@
     Epoch promised = 0;
 };
 
-// The primary gives an in-sync member the next state.
+// The primary sends an in-sync member the next state.
 struct ReplicateRequest {
     Epoch epoch = 0;
     ReplicatedState state;
@@ -69,33 +70,34 @@
     Epoch promised = 0;
 };
 
-// From the primary to every member it knows.
+// Sent by the primary to every connected member.
 struct Heartbeat {
     std::uint64_t number = 0;
     EpochRecord record;
     Position committed;
-    bool in_contact = false; // more than half of the witnesses have answered the sender a moment ago
-    std::int64_t echo = 0;   // `sent_at` of the receiver's newest reply; 0: none in this epoch
+    bool in_contact = false; // a majority of the witnesses answered the sender recently
+    std::int64_t echo = 0;   // `sent_at` of the receiver's newest reply; 0: none since it connected
 };
 
 struct HeartbeatReply {
     std::uint64_t number = 0;
     Epoch epoch = 0;
     Epoch promised = 0;
-    Position newest_committed; // newest committed state known to the sender
-    bool voting = false;       // has a register it can vote with, and a disk that takes records
-    bool complete = false;     // its state was complete when it was last installed
+    Position newest_committed; // position of the newest committed state known to the sender
+    bool voting = false;       // the sender has a valid register and a working disk
+    bool complete = false;     // the sender's register marks its state as complete
     bool shutting_down = false;
     std::int64_t sent_at = 0; // ms of the sender's steady clock, for `Heartbeat::echo`
 };
 
-// Committed state for a member that lacks it; for reading only, not made durable there.
+// Sends the committed state to a member that lacks it. The receiver serves reads from it but does not store
+// it.
 struct CommitNotification {
     Epoch epoch = 0;
     ReplicatedState state;
 };
 
-// A member whose disk is empty asks the others what it may have promised.
+// A member that lost its register asks the others for theirs, to learn what it may have promised.
 struct RecoveryRequest {
     std::uint64_t nonce = 0;
 };
@@ -116,12 +118,12 @@
                  AcceptRequest, AcceptReply, ReplicateRequest, ReplicateReply, Heartbeat, HeartbeatReply,
                  CommitNotification, RecoveryRequest, RecoveryReply, LeadershipTransfer>;
 
-// The replicated state in a message of a kind that carries one; null in any other.
+// The replicated state carried by a message; null for types that carry none.
 inline const ReplicatedState* state_in(const Message& message) {
     return std::visit(
-        [](const auto& one) -> const ReplicatedState* {
-            if constexpr (requires { one.state; })
-                return &one.state;
+        [](const auto& alternative) -> const ReplicatedState* {
+            if constexpr (requires { alternative.state; })
+                return &alternative.state;
             else
                 return nullptr;
         },
--- a/src/system/replication/options.h
+++ b/src/system/replication/options.h
@@ -1,4 +1,4 @@
-// What a replica is given at its start.
+// Startup options of a replica.
 #pragma once
 
 #include "system/replication/timing.h"
@@ -12,9 +12,9 @@
 
 struct Options {
     MemberId self;
-    bool initial_start = false;       // the first start of the whole core: an empty disk is no lost disk
+    bool initial_start = false;       // first start of the whole core: an empty disk is expected
     std::vector<MemberId> seeds;      // the witnesses and in-sync set of the initial epoch
-    std::size_t tolerated_losses = 1; // members that may be lost at once, disks included
+    std::size_t tolerated_losses = 1; // members that may fail at once, including their disks
     Timing timing{};
     std::uint64_t random_seed = 1;
 };
--- a/src/system/replication/peer_table.cpp
+++ b/src/system/replication/peer_table.cpp
@@ -49,11 +49,11 @@
     return peer != nullptr && peer->heard_at && now - *peer->heard_at <= member_timeout_;
 }
 
-bool PeerTable::is_steady(const MemberId& member, Time now, Time needed) const {
+bool PeerTable::is_steady(const MemberId& member, Time now, Time min_duration) const {
     const Peer* peer = find(member);
     if (peer == nullptr || !is_alive(member, now)) return false;
     const bool can_serve = peer->connected && peer->voting && !peer->shutting_down;
-    return can_serve && peer->steady_since && now - *peer->steady_since >= needed;
+    return can_serve && peer->steady_since && now - *peer->steady_since >= min_duration;
 }
 
 } // namespace willowrill::replication
--- a/src/system/replication/register_recovery.cpp
+++ b/src/system/replication/register_recovery.cpp
@@ -22,25 +22,25 @@
         registers_[from] = reply.witness_register;
     else
         registers_.erase(from);
-    const WitnessRegister found = highest_known();
-    const std::vector<MemberId>& group = found.accepted.witnesses;
+    const WitnessRegister recovered = highest_known();
+    const std::vector<MemberId>& group = recovered.accepted.witnesses;
     const std::size_t majority = group.size() / 2 + 1;
     const auto answered = static_cast<std::size_t>(std::ranges::count_if(
         group, [&](const MemberId& id) { return id != self && registers_.contains(id); }));
     if (group.empty() || answered < group.size() - majority + 1) return std::nullopt;
     registers_.clear();
-    return found;
+    return recovered;
 }
 
 WitnessRegister RegisterRecovery::highest_known() const {
-    WitnessRegister found;
+    WitnessRegister recovered;
     for (const auto& [id, known] : registers_) {
-        found.promised = std::max(found.promised, known.promised);
-        if (known.accepted.epoch > found.accepted.epoch) found.accepted = known.accepted;
-        if (known.decided.epoch > found.decided.epoch) found.decided = known.decided;
+        recovered.promised = std::max(recovered.promised, known.promised);
+        if (known.accepted.epoch > recovered.accepted.epoch) recovered.accepted = known.accepted;
+        if (known.decided.epoch > recovered.decided.epoch) recovered.decided = known.decided;
     }
-    found.complete = false;
-    return found;
+    recovered.complete = false;
+    return recovered;
 }
 
 } // namespace willowrill::replication
--- a/src/system/replication/register_recovery.h
+++ b/src/system/replication/register_recovery.h
@@ -1,5 +1,5 @@
-// How a witness whose register was lost finds out what it may have promised: it asks the others for theirs.
-// Before it has done so it takes no part in votes. One thread.
+// Recovers a witness's lost register by asking the other members for theirs. Until then the witness does not
+// vote, because it does not know what it has promised. Not thread-safe.
 #pragma once
 
 #include "system/replication/messages.h"
@@ -14,22 +14,22 @@
 
 class RegisterRecovery {
   public:
-    // `nonce`: tells replies to this process from those to an earlier one.
+    // `nonce`: distinguishes replies to this process from replies to an earlier one.
     void begin(std::uint64_t nonce) { nonce_ = nonce; }
 
-    // The request to send to all others, where it is time to ask (again).
+    // Returns the request to send to all other members, if the request interval has passed.
     std::optional<RecoveryRequest> request_if_due(Time now);
-    // Somebody connected: asks again at the next opportunity.
+    // Makes the next `request_if_due` return a request, because a new peer has connected.
     void request_soon() { requested_at_.reset(); }
 
-    // Takes in a reply. Returns a register that promises all that the lost one may have promised, once so
-    // many witnesses have answered that one of them stood in every majority that this member may have been
-    // counted in. Its state does not count as complete.
+    // Handles a reply. Returns a register that covers every promise of the lost one, once the witnesses that
+    // answered intersect every majority that this member may have been part of. The returned register marks
+    // the state as incomplete.
     std::optional<WitnessRegister> on_reply(const MemberId& self, const MemberId& from,
                                             const RecoveryReply& reply);
 
-    // Shows a visitor all that decides what happens next: `visitor(fields...)`. For searches through states
-    // (src/system/verification); counters are shown as distances, as only these matter.
+    // Passes every field that influences future behaviour to `visitor(fields...)`, for the model checker in
+    // src/system/verification. Counters are passed as differences, because only these affect behaviour.
     template <class Visitor> void visit_state(Visitor& visitor) const {
         visitor(nonce_, registers_, requested_at_);
     }
@@ -38,7 +38,7 @@
     WitnessRegister highest_known() const;
 
     std::uint64_t nonce_ = 0;
-    std::map<MemberId, WitnessRegister> registers_; // of those that can vote
+    std::map<MemberId, WitnessRegister> registers_; // of the members that can vote
     std::optional<Time> requested_at_;
 };
 
--- a/src/system/replication/replica.cpp
+++ b/src/system/replication/replica.cpp
@@ -1,5 +1,5 @@
-// The replica's events and what it knows of the members; its other files hold its parts as backup, candidate
-// and primary, and its dealings with the disk.
+// Event handling of `Replica` and queries about the members. The other replica_*.cpp files implement the
+// backup, the candidate, the primary and the durability of records.
 #include "system/replication/replica.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     actions_ = nullptr;
 }
 
-// ---- What the caller may ask -----------------------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------------------------------------
 
 std::optional<MemberId> Replica::primary() const {
     if (role_ == Role::primary) return options_.self;
@@ -32,10 +32,10 @@
 bool Replica::is_current(Time now) const {
     const Time validity = options_.timing.contact_validity;
     if (role_ != Role::primary) return contact_at_ && now - *contact_at_ <= validity;
-    return quorum_answered(now, validity);
+    return has_recent_quorum(now, validity);
 }
 
-// A standby that could take this member's place is one that is connected and no witness.
+// A connected member that is not a witness is a standby that could take this member's place.
 bool Replica::is_safe_to_shut_down(Time now) const {
     if (role_ == Role::primary) return false;
     if (!has_register_) return true;
@@ -51,18 +51,18 @@
 // ---- Events ----------------------------------------------------------------------------------------------
 
 void Replica::on(const Tick&) {
-    backoff_.begin(now_);
-    if (!reaches_quorum())
-        quorum_reached_since_.reset();
-    else if (!quorum_reached_since_)
-        quorum_reached_since_ = now_;
+    backoff_.start(now_);
+    if (!is_connected_to_quorum())
+        quorum_connected_since_.reset();
+    else if (!quorum_connected_since_)
+        quorum_connected_since_ = now_;
     switch (role_) {
     case Role::loading:
         return;
     case Role::recovering:
         return request_recovery();
     case Role::storage_failed:
-        return restore();
+        return start_restoration();
     case Role::backup:
         if (may_start_election()) start_pre_vote();
         return;
@@ -73,7 +73,7 @@
     case Role::accepting:
         return check_election_phase();
     case Role::primary:
-        return supervise();
+        return run_primary_tasks();
     }
 }
 
@@ -86,15 +86,16 @@
 void Replica::on(const PeerConnected& event) {
     peers_.on_connected(event.peer);
     if (role_ == Role::recovering) recovery_.request_soon();
-    if (role_ == Role::primary) send_heartbeat(event.peer); // one that comes back is taken in the sooner
+    if (role_ == Role::primary) send_heartbeat(event.peer); // lets a returning member rejoin sooner
 }
 
-// A connection that ends says the process is gone: a dead primary's successor need not wait for the timeout.
+// A closed connection indicates that the primary's process has ended: the backup waits only one election step
+// instead of the rest of the election timeout.
 void Replica::on(const PeerDisconnected& event) {
     peers_.on_disconnected(event.peer);
     if (role_ != Role::backup || event.peer != register_.decided.primary || !primary_heard_at_) return;
-    const Time soon = now_ - options_.timing.election_timeout + options_.timing.election_step;
-    primary_heard_at_ = std::min(*primary_heard_at_, soon);
+    const Time shortened_wait_start = now_ - options_.timing.election_timeout + options_.timing.election_step;
+    primary_heard_at_ = std::min(*primary_heard_at_, shortened_wait_start);
 }
 
 void Replica::on(const BeginShutdown&) {
@@ -119,7 +120,7 @@
     actions_->emplace_back(StateChanged{});
 }
 
-// ---- What the members are like ---------------------------------------------------------------------------
+// ---- Condition of the members ----------------------------------------------------------------------------
 
 bool Replica::is_steady(const MemberId& member) const {
     const Timing& timing = options_.timing;
@@ -127,27 +128,28 @@
                             lacks_redundancy() ? timing.steady_after_urgent : timing.steady_after);
 }
 
-// Fewer copies than witnesses, or a witness that is not heard: the next loss could be one too many.
+// True if there are fewer in-sync members than witnesses or a witness is not alive: the next loss might not
+// be tolerated.
 bool Replica::lacks_redundancy() const {
     const EpochRecord& record = register_.decided;
     if (record.in_sync.size() < record.witnesses.size()) return true;
     return !std::ranges::all_of(record.witnesses, [this](const MemberId& id) { return is_alive(id); });
 }
 
-bool Replica::reaches_quorum() const {
+bool Replica::is_connected_to_quorum() const {
     return has_quorum(register_.decided.witnesses,
-                      peers_.self_and([](const Peer& peer) { return peer.connected; }));
+                      peers_.self_and_peers_where([](const Peer& peer) { return peer.connected; }));
 }
 
-// Whether more than half of the witnesses have answered a heartbeat that was sent within this time.
-bool Replica::quorum_answered(Time now, Time within) const {
+// Whether a majority of the witnesses has answered a heartbeat that is at most `max_age` old.
+bool Replica::has_recent_quorum(Time now, Time max_age) const {
     const auto answered = [&](const Peer& peer) {
-        return peer.heartbeat_sent_at && now - *peer.heartbeat_sent_at <= within;
+        return peer.heartbeat_sent_at && now - *peer.heartbeat_sent_at <= max_age;
     };
-    return has_quorum(register_.decided.witnesses, peers_.self_and(answered));
+    return has_quorum(register_.decided.witnesses, peers_.self_and_peers_where(answered));
 }
 
-// Whether the primary, here or elsewhere, was heard a moment ago: no reason for an election.
+// Whether the primary, this member or another one, is known to be active: there is no reason for an election.
 bool Replica::heard_primary_recently() const {
     if (role_ == Role::primary) return is_current(now_);
     return primary_heard_at_ && now_ - *primary_heard_at_ < options_.timing.contact_validity;
--- a/src/system/replication/replica_backup.cpp
+++ b/src/system/replication/replica_backup.cpp
@@ -1,5 +1,4 @@
-// The replica as a witness, which votes on epochs, and as a backup, which stores the state and follows the
-// primary.
+// The witness, which votes on epochs, and the backup, which stores the state and follows the primary.
 #include "system/replication/replica.h"
 
 #include <algorithm>
@@ -10,19 +9,19 @@
 
 void Replica::on_message(const MemberId& from, const PrepareRequest& request) {
     highest_epoch_seen_ = std::max(highest_epoch_seen_, request.epoch);
-    const bool possible = can_vote() && request.epoch > register_.promised;
+    const bool is_eligible = can_vote() && request.epoch > register_.promised;
     PrepareReply reply{request.epoch, request.pre_vote, false, shutting_down_, register_, state_.position};
     if (request.pre_vote)
-        reply.granted = possible && (!heard_primary_recently() || from == register_.decided.primary);
-    if (request.pre_vote || !possible) return send(from, reply);
+        reply.granted = is_eligible && (!heard_primary_recently() || from == register_.decided.primary);
+    if (request.pre_vote || !is_eligible) return send(from, reply);
     WitnessRegister next = register_;
     next.promised = request.epoch;
     save(next);
     reply.granted = true;
     reply.witness_register = register_;
     if (role_ != Role::backup) step_down(request.epoch, "promised-another");
-    // The candidate has its chance before this one starts an election itself.
-    backoff_.wait_until(now_ + options_.timing.election_phase);
+    // Gives the candidate time to finish before this member starts an election itself.
+    backoff_.postpone_until(now_ + options_.timing.election_phase);
     when_durable(Send{from, reply});
 }
 
@@ -46,9 +45,10 @@
 }
 
 void Replica::on_message(const MemberId& from, const InstallRequest& request) {
-    // Once states of this very epoch have come, its install is over: this one is a late copy.
-    const bool late = state_.position.epoch >= request.epoch;
-    if (!can_vote() || late || request.epoch != register_.promised)
+    // A state of the requested epoch has already been replicated, so its install phase is over and this
+    // request is a late duplicate.
+    const bool is_late_copy = state_.position.epoch >= request.epoch;
+    if (!can_vote() || is_late_copy || request.epoch != register_.promised)
         return send(from, InstallReply{request.epoch, false, register_.promised});
     if (state_.position != request.state.position) save(request.state);
     WitnessRegister next = register_;
@@ -57,11 +57,11 @@
     when_durable(Send{from, InstallReply{request.epoch, true, register_.promised}});
 }
 
-// An older state than the one held may come late, on a connection that was replaced meanwhile.
+// Rejects states older than the stored one, which may arrive late on a connection that has been replaced.
 void Replica::on_message(const MemberId& from, const ReplicateRequest& request) {
     const Position& position = request.state.position;
-    const bool possible = can_vote() && register_.complete && request.epoch >= register_.promised;
-    if (!possible || position < state_.position)
+    const bool is_eligible = can_vote() && register_.complete && request.epoch >= register_.promised;
+    if (!is_eligible || position < state_.position)
         return send(from, ReplicateReply{request.epoch, position, false, register_.promised});
     if (state_.position != position) save(request.state);
     when_durable(Send{from, ReplicateReply{request.epoch, position, true, register_.promised}});
@@ -72,22 +72,23 @@
 void Replica::on_message(const MemberId& from, const Heartbeat& heartbeat) {
     const Epoch epoch = heartbeat.record.epoch;
     highest_epoch_seen_ = std::max(highest_epoch_seen_, epoch);
-    if (has_register_ && epoch >= register_.promised && from == heartbeat.record.primary) follow(heartbeat);
+    if (has_register_ && epoch >= register_.promised && from == heartbeat.record.primary)
+        follow_primary(heartbeat);
     send(from, heartbeat_reply(heartbeat.number, epoch));
 }
 
-void Replica::follow(const Heartbeat& heartbeat) {
+void Replica::follow_primary(const Heartbeat& heartbeat) {
     const Epoch epoch = heartbeat.record.epoch;
-    const bool stood_by = role_ == Role::backup || role_ == Role::storage_failed;
-    if (!stood_by && epoch >= election_.epoch()) step_down(epoch, "another-is-primary");
+    const bool was_following = role_ == Role::backup || role_ == Role::storage_failed;
+    if (!was_following && epoch >= election_.epoch()) step_down(epoch, "another-is-primary");
     adopt_decided(heartbeat.record);
     if (role_ == Role::backup || role_ == Role::storage_failed) primary_heard_at_ = now_;
     if (heartbeat.committed == state_.position) commit(state_);
-    note_contact(heartbeat);
+    update_contact_time(heartbeat);
 }
 
-// A record that enough witnesses have stored may be stored anywhere, whatever was promised. Nothing rests on
-// its being durable here, so a disk that fails or stalls is not asked.
+// Adopts a record accepted by a quorum of witnesses, which is safe regardless of this member's promises. The
+// record need not be durable here, so it is only kept in memory while the disk fails or stalls.
 void Replica::adopt_decided(const EpochRecord& record) {
     if (record.epoch <= register_.decided.epoch) return;
     WitnessRegister next = register_;
@@ -99,9 +100,9 @@
     register_unsaved_ = true;
 }
 
-// A message may have lain in a buffer while this process or the sender stood still. Only the echo of a reply
-// of our own says how old it can be, by our own clock.
-void Replica::note_contact(const Heartbeat& heartbeat) {
+// A heartbeat may have been buffered while this process or the sender was suspended. The echoed send time of
+// this member's own reply is a lower bound, by its own clock, for when the heartbeat was sent.
+void Replica::update_contact_time(const Heartbeat& heartbeat) {
     const Time at{heartbeat.echo};
     if (!heartbeat.in_contact || heartbeat.echo <= 0 || at > now_) return;
     if (committed_.position < heartbeat.committed) return;
--- a/src/system/replication/replica_durability.cpp
+++ b/src/system/replication/replica_durability.cpp
@@ -1,5 +1,5 @@
-// The replica's dealings with its disk: what it finds there, what it saves, how it comes back after the disk
-// refused a record, and how it recovers a register that was lost.
+// Durability of the replica's records: loading and saving them, restoring them after a failed save, and
+// recovering a lost register from the other members.
 #include "system/replication/replica.h"
 
 #include <algorithm>
@@ -7,19 +7,21 @@
 
 namespace willowrill::replication {
 
-// A disk with a register is believed, whatever the settings say of a first start.
+// A register found on disk takes precedence over the `initial_start` option.
 void Replica::on(const Loaded& loaded) {
     if (role_ != Role::loading) return;
     recovery_.begin(random_());
     started_at_ = now_;
     if (loaded.state) state_ = *loaded.state;
-    // A register older than the state beside it has lost promises.
-    const bool behind = loaded.witness_register && state_.position.epoch > loaded.witness_register->promised;
-    if (loaded.witness_register && !behind)
+    // A register older than the stored state was rolled back and may lack promises.
+    const bool is_register_stale =
+        loaded.witness_register && state_.position.epoch > loaded.witness_register->promised;
+    if (loaded.witness_register && !is_register_stale)
         return start_with_register(*loaded.witness_register, loaded.state.has_value());
-    const bool empty = !loaded.witness_register && state_.position == Position{};
-    if (!options_.initial_start || options_.seeds.empty() || !empty)
-        return change_role(Role::recovering, behind ? "register-older-than-state" : "register-missing");
+    const bool is_disk_empty = !loaded.witness_register && state_.position == Position{};
+    if (!options_.initial_start || options_.seeds.empty() || !is_disk_empty)
+        return change_role(Role::recovering,
+                           is_register_stale ? "register-older-than-state" : "register-missing");
     start_first_epoch();
 }
 
@@ -38,7 +40,7 @@
 
 void Replica::start_first_epoch() {
     is_first_start_ = true;
-    save(state_); // so that a state which is missing later is known to be lost
+    save(state_); // so that a missing state is later recognized as lost
     const bool is_seed = contains(options_.seeds, options_.self);
     const EpochRecord first{initial_epoch, options_.seeds.front(), options_.seeds, options_.seeds};
     save(WitnessRegister{initial_epoch, first, first, is_seed});
@@ -65,22 +67,23 @@
     actions_->emplace_back(durability_.issue(now_, std::move(record), purpose));
 }
 
-// Does this once every record given to the disk so far is durable; never, if one of them is refused.
+// Executes the action once every record passed to the disk so far is durable; never, if one of the saves
+// fails.
 void Replica::when_durable(DeferredAction action) {
     if (!durability_.idle()) return durability_.defer(std::move(action));
-    std::visit([this](const auto& due) { carry_out(due); }, action);
+    std::visit([this](const auto& ready_action) { execute(ready_action); }, action);
 }
 
-void Replica::carry_out(const Send& send) { actions_->emplace_back(send); }
+void Replica::execute(const Send& send) { actions_->emplace_back(send); }
 
 void Replica::on(const Saved& saved) {
     if (!durability_.on_saved(now_, saved.save_id)) return;
-    while (const std::optional<DeferredAction> action = durability_.take_due(saved.save_id))
-        std::visit([this](const auto& due) { carry_out(due); }, *action);
+    while (const std::optional<DeferredAction> action = durability_.take_ready(saved.save_id))
+        std::visit([this](const auto& ready_action) { execute(ready_action); }, *action);
 }
 
-// Whether the record is on disk is unknown now: nothing that waited for it may happen, and the records in
-// memory, which hold all that was ever vouched for, are written anew before this member counts again.
+// It is unknown whether the record is on disk: deferred actions are discarded, and the records in memory,
+// which cover everything this member ever confirmed, are rewritten before it votes again.
 void Replica::on(const SaveFailed& failed) {
     if (!durability_.on_refused(now_, failed.save_id) || role_ == Role::storage_failed) return;
     if (role_ == Role::primary) transfer_leadership();
@@ -89,9 +92,9 @@
     change_role(Role::storage_failed, "save-refused");
 }
 
-// At no point on the way does the disk call a state complete that may be an older one than was vouched for:
-// where its register does not say so yet, it says so only behind the state.
-void Replica::restore() {
+// Rewrites both records. The register on disk must never mark a state as complete that may be older than one
+// this member has confirmed: unless the durable register already has the mark, it is set after the state.
+void Replica::start_restoration() {
     if (!durability_.may_restore(now_)) return;
     WitnessRegister first = register_;
     first.complete = register_.complete && durability_.durably_complete();
@@ -102,18 +105,19 @@
     when_durable(FinishRestoration{});
 }
 
-void Replica::carry_out(const FinishRestoration&) {
+void Replica::execute(const FinishRestoration&) {
     if (role_ != Role::storage_failed) return;
     durability_.on_restored();
     change_role(Role::backup, "disk-takes-records");
 }
 
 bool Replica::can_vote() const {
-    const bool knows = role_ != Role::loading && role_ != Role::recovering && role_ != Role::storage_failed;
-    return has_register_ && knows && durability_.answers(now_);
+    const bool is_serving_role =
+        role_ != Role::loading && role_ != Role::recovering && role_ != Role::storage_failed;
+    return has_register_ && is_serving_role && durability_.is_responsive(now_);
 }
 
-// ---- Recovery of a register that was lost ----------------------------------------------------------------
+// ---- Recovery of a lost register --------------------------------------------------------------------------
 
 void Replica::request_recovery() {
     const std::optional<RecoveryRequest> request = recovery_.request_if_due(now_);
@@ -134,7 +138,8 @@
     has_register_ = true;
     highest_epoch_seen_ = std::max(highest_epoch_seen_, found->promised);
     change_role(Role::backup, "recovered");
-    send(found->decided.primary, heartbeat_reply(0, found->decided.epoch)); // it can be taken in now
+    send(found->decided.primary,
+         heartbeat_reply(0, found->decided.epoch)); // the primary may admit this member now
 }
 
 } // namespace willowrill::replication
--- a/src/system/replication/replica_election.cpp
+++ b/src/system/replication/replica_election.cpp
@@ -1,5 +1,6 @@
-// How a member becomes the primary of a new epoch. The same way serves failover, changes of the in-sync set
-// and changes of the witnesses: the primary of an epoch is the candidate for the next one.
+// Elections: how a member becomes the primary of a new epoch. The same procedure implements failover and
+// changes of the in-sync set and the witnesses, for which the current primary is the candidate of the next
+// epoch.
 #include "system/replication/replica.h"
 
 #include <algorithm>
@@ -7,15 +8,17 @@
 
 namespace willowrill::replication {
 
-// ---- Whether and when ------------------------------------------------------------------------------------
+// ---- Start and failure -----------------------------------------------------------------------------------
 
-// The primary has been silent for long, and enough witnesses could answer: in the order of succession.
+// True once the primary has been silent for the election delay and a quorum of witnesses has been connected
+// for long enough. Both delays grow with the succession rank.
 bool Replica::may_start_election() const {
-    if (!can_vote() || shutting_down_ || !backoff_.is_over(now_) || !quorum_reached_since_) return false;
+    if (!can_vote() || shutting_down_ || !backoff_.has_elapsed(now_) || !quorum_connected_since_)
+        return false;
     const Time delay = election_delay();
     const bool primary_silent = !primary_heard_at_ || now_ - *primary_heard_at_ > delay;
     const auto rank = static_cast<int>(succession_rank(options_.self, register_));
-    return primary_silent && now_ - *quorum_reached_since_ >= options_.timing.election_step * rank;
+    return primary_silent && now_ - *quorum_connected_since_ >= options_.timing.election_step * rank;
 }
 
 Time Replica::election_delay() const {
@@ -25,26 +28,28 @@
 }
 
 void Replica::begin_candidacy() {
-    // Two candidates of one moment get different epochs, the earlier in the order the higher: one prevails.
+    // Simultaneous candidates use different epochs, higher for lower succession ranks, so that one of them
+    // wins.
     const std::size_t members = register_.decided.in_sync.size() + 2;
-    const Epoch advantage = members - std::min(members, succession_rank(options_.self, register_));
+    const Epoch rank_bonus = members - std::min(members, succession_rank(options_.self, register_));
     const Epoch highest = std::max({highest_epoch_seen_, register_.promised, register_.accepted.epoch});
-    election_.begin(highest + 1 + advantage, role_ == Role::primary ? Election::Purpose::membership_change
-                                                                    : Election::Purpose::failover);
+    election_.begin(highest + 1 + rank_bonus, role_ == Role::primary ? Election::Purpose::membership_change
+                                                                     : Election::Purpose::failover);
 }
 
-// Another candidate may be ahead: it gets its time, and a random share more keeps two from meeting again.
-void Replica::abandon_election(Epoch seen, const char* reason) {
-    highest_epoch_seen_ = std::max(highest_epoch_seen_, seen);
+// Returns to the backup role. A random delay lets a candidate that is ahead finish, and keeps two candidates
+// from colliding repeatedly.
+void Replica::abandon_election(Epoch seen_epoch, const char* reason) {
+    highest_epoch_seen_ = std::max(highest_epoch_seen_, seen_epoch);
     abort_client_requests();
     change_role(Role::backup, reason);
-    const auto spread = static_cast<std::uint64_t>(options_.timing.election_phase.count());
-    backoff_.wait_until(now_ + Time{static_cast<std::int64_t>(random_() % spread)});
+    const auto max_jitter_ms = static_cast<std::uint64_t>(options_.timing.election_phase.count());
+    backoff_.postpone_until(now_ + Time{static_cast<std::int64_t>(random_() % max_jitter_ms)});
 }
 
 void Replica::check_election_phase() {
     if (now_ - role_since_ > options_.timing.election_phase) {
-        if (!durability_.idle()) backoff_.back_off(now_); // its own disk is too slow to serve
+        if (!durability_.idle()) backoff_.back_off(now_); // this member's disk is too slow to serve
         return abandon_election(0, "election-phase-too-long");
     }
     if (role_ == Role::preparing) plan_record();
@@ -65,7 +70,8 @@
     start_preparing();
 }
 
-// Nobody else is asked before its own promise is durable: a disk that stalls must not fence others.
+// Prepare requests are sent only after this member's own promise is durable, so that a candidate with a
+// stalled disk does not fence the primary.
 void Replica::start_preparing() {
     election_.clear_replies();
     change_role(Role::preparing,
@@ -77,8 +83,8 @@
     when_durable(SendPrepareRequests{election_.epoch()});
 }
 
-void Replica::carry_out(const SendPrepareRequests& due) {
-    if (role_ != Role::preparing || due.epoch != election_.epoch()) return;
+void Replica::execute(const SendPrepareRequests& ready_action) {
+    if (role_ != Role::preparing || ready_action.epoch != election_.epoch()) return;
     election_.add_reply(options_.self, own_prepare_reply());
     send_prepare_requests(false);
     plan_record();
@@ -93,17 +99,18 @@
             .position = state_.position};
 }
 
-// All members whose reply may be needed: witnesses of what is in force or may be, and standbys.
+// All members whose reply may be needed: standbys, and the witnesses of every record that is or may be in
+// force.
 std::vector<MemberId> Replica::prepare_recipients() const {
-    std::set<MemberId> all(register_.decided.witnesses.begin(), register_.decided.witnesses.end());
-    all.insert(register_.accepted.witnesses.begin(), register_.accepted.witnesses.end());
+    std::set<MemberId> recipients(register_.decided.witnesses.begin(), register_.decided.witnesses.end());
+    recipients.insert(register_.accepted.witnesses.begin(), register_.accepted.witnesses.end());
     for (const auto& [id, reply] : election_.replies()) {
         const EpochRecord& record = reply.witness_register.accepted;
-        all.insert(record.witnesses.begin(), record.witnesses.end());
+        recipients.insert(record.witnesses.begin(), record.witnesses.end());
     }
     for (const MemberId& id : standbys())
-        all.insert(id);
-    return {all.begin(), all.end()};
+        recipients.insert(id);
+    return {recipients.begin(), recipients.end()};
 }
 
 void Replica::send_prepare_requests(bool pre_vote) {
@@ -115,10 +122,10 @@
     const Role phase = reply.pre_vote ? Role::pre_voting : Role::preparing;
     if (reply.epoch != election_.epoch() || role_ != phase) return;
     if (!reply.granted) return on_prepare_refused(reply);
-    const std::vector<MemberId> before = prepare_recipients();
+    const std::vector<MemberId> previous_recipients = prepare_recipients();
     election_.add_reply(from, reply);
-    for (const MemberId& id : prepare_recipients()) // witnesses of a record that was not known here
-        if (!std::ranges::binary_search(before, id))
+    for (const MemberId& id : prepare_recipients()) // witnesses of a record that was unknown so far
+        if (!std::ranges::binary_search(previous_recipients, id))
             send(id, PrepareRequest{election_.epoch(), reply.pre_vote});
     count_prepare_replies();
 }
@@ -136,15 +143,15 @@
 
 // ---- The record of the new epoch -------------------------------------------------------------------------
 
-// Members that could become witnesses.
+// Steady members that are not witnesses and could become witnesses.
 std::vector<MemberId> Replica::standbys() const {
-    std::vector<MemberId> out;
+    std::vector<MemberId> candidates;
     for (const auto& [id, peer] : peers_)
-        if (is_steady(id) && !contains(register_.decided.witnesses, id)) out.push_back(id);
-    return out;
+        if (is_steady(id) && !contains(register_.decided.witnesses, id)) candidates.push_back(id);
+    return candidates;
 }
 
-// Shuts down, or was silent or unable to vote for long.
+// Whether the witness is shutting down, or has been silent or unable to vote for the witness timeout.
 bool Replica::is_replaceable(const MemberId& witness) const {
     if (witness == options_.self) return false;
     const Time timeout = options_.timing.witness_timeout;
@@ -152,13 +159,13 @@
     if (peer == nullptr) return now_ - started_at_ >= timeout;
     if (peer->shutting_down) return true;
     if (now_ - std::max(peer->heard_at.value_or(started_at_), started_at_) >= timeout) return true;
-    const bool hears_votes =
-        role_ == Role::primary || election_.is_membership_change(); // the primary alone does
-    return hears_votes &&
+    const bool receives_heartbeat_replies =
+        role_ == Role::primary || election_.is_membership_change(); // only the primary receives them
+    return receives_heartbeat_replies &&
            now_ - std::max(peer->voting_at.value_or(primary_since_), primary_since_) >= timeout;
 }
 
-// `present`: who could be a witness from now on.
+// Returns the witnesses of the next epoch. `present`: the members that can be witnesses.
 std::vector<MemberId> Replica::plan_witnesses(const std::set<MemberId>& present) const {
     const std::vector<MemberId>& current = election_.highest_accepted(register_).witnesses;
     std::vector<MemberId> candidates;
@@ -186,32 +193,34 @@
                            next_in_sync(options_.self, witnesses, election_.replies(), min_in_sync()),
                            witnesses};
     if (plan.in_sync.size() < min_in_sync() || waits_for_more_replies()) return;
-    for (auto& [id, peer] : peers_) // who is too slow to reply is not asked for again at once
+    for (auto& [id, peer] : peers_) // restarts the steady period of members that were too slow to reply
         if (!present.contains(id)) peer.steady_since = now_;
 
     election_.plan(plan, {decided.witnesses, accepted.witnesses, plan.witnesses});
     const bool holds_newest = source->position == state_.position && register_.complete;
     if (holds_newest || source->member == options_.self) return install();
-    election_.fetch_from(source->member);
+    election_.set_fetch_source(source->member);
     change_role(Role::fetching, "another-holds-newer-state");
     send(source->member, FetchRequest{election_.epoch()});
 }
 
-// Standbys are waited for too: a change for their sake must not be planned before they could reply.
+// Whether to wait for further replies, including those of standbys: a membership change on their behalf must
+// not be planned before they had time to reply.
 bool Replica::waits_for_more_replies() {
-    const std::vector<MemberId> asked = prepare_recipients();
-    const bool all = std::ranges::all_of(
-        asked, [this](const MemberId& id) { return election_.replies().contains(id) || !is_alive(id); });
+    const std::vector<MemberId> recipients = prepare_recipients();
+    const bool all_replied = std::ranges::all_of(
+        recipients, [this](const MemberId& id) { return election_.replies().contains(id) || !is_alive(id); });
     if (!prepare_quorum_since_) prepare_quorum_since_ = now_;
     const Timing& timing = options_.timing;
-    const Time wait = election_.is_membership_change() ? timing.prepare_wait_planned : timing.prepare_wait;
-    return !all && now_ - *prepare_quorum_since_ < wait;
+    const Time max_wait =
+        election_.is_membership_change() ? timing.prepare_wait_planned : timing.prepare_wait;
+    return !all_replied && now_ - *prepare_quorum_since_ < max_wait;
 }
 
 // ---- Fetch and install -----------------------------------------------------------------------------------
 
 void Replica::on_message(const MemberId& from, const FetchReply& reply) {
-    if (role_ != Role::fetching || reply.epoch != election_.epoch() || from != election_.fetches_from())
+    if (role_ != Role::fetching || reply.epoch != election_.epoch() || from != election_.fetch_source())
         return;
     if (reply.state.position != state_.position) save(reply.state);
     WitnessRegister next = register_;
@@ -220,8 +229,8 @@
     when_durable(StartInstall{election_.epoch()});
 }
 
-void Replica::carry_out(const StartInstall& due) {
-    if (role_ == Role::fetching && due.epoch == election_.epoch()) install();
+void Replica::execute(const StartInstall& ready_action) {
+    if (role_ == Role::fetching && ready_action.epoch == election_.epoch()) install();
 }
 
 void Replica::install() {
@@ -252,7 +261,7 @@
 // ---- Accept ----------------------------------------------------------------------------------------------
 
 void Replica::start_accept_if_installed() {
-    if (role_ != Role::installing || !election_.is_installed()) return;
+    if (role_ != Role::installing || !election_.is_installed_everywhere()) return;
     change_role(Role::accepting, "state-installed");
     WitnessRegister next = register_;
     next.accepted = election_.planned();
@@ -260,8 +269,8 @@
     when_durable(SendAcceptRequests{election_.epoch()});
 }
 
-void Replica::carry_out(const SendAcceptRequests& due) {
-    if (role_ != Role::accepting || due.epoch != election_.epoch()) return;
+void Replica::execute(const SendAcceptRequests& ready_action) {
+    if (role_ != Role::accepting || ready_action.epoch != election_.epoch()) return;
     election_.begin_accept(now_);
     election_.add_accepted(options_.self);
     for (const MemberId& id : election_.accept_recipients())
--- a/src/system/replication/role.h
+++ b/src/system/replication/role.h
@@ -1,22 +1,22 @@
-// What a replica is doing at the moment.
+// The role of a replica.
 #pragma once
 
 namespace willowrill::replication {
 
 enum class Role {
     loading,        // the disk has not been read yet
-    recovering,     // the register was lost, and it is not known what was promised
-    storage_failed, // the disk refused a record
+    recovering,     // the register was lost and its promises are unknown
+    storage_failed, // the disk failed to store a record
     backup,
-    pre_voting, // asks whether an election would succeed
-    preparing,  // phases of an election: collects prepare replies,
-    fetching,   // gets the newest state from the member that holds it,
-    installing, // gives it to the members of the new in-sync set,
-    accepting,  // has the record of the new epoch stored
+    pre_voting, // asks whether an election would succeed, without binding anybody
+    preparing,  // election, phase 1: collects prepare replies
+    fetching,   // election, phase 2: gets the newest state from its holder
+    installing, // election, phase 3: sends it to the new in-sync set
+    accepting,  // election, phase 4: has the new epoch's record accepted
     primary
 };
 
-// The operators' name of a role, for logs.
+// The name of a role in logs.
 const char* name_of(Role role);
 
 } // namespace willowrill::replication
--- a/src/system/replication/types.h
+++ b/src/system/replication/types.h
@@ -1,9 +1,9 @@
-// What a core member keeps of primary-backup replication: epochs, positions, the register of a witness and
-// the replicated state. Messages between members are in messages.h.
+// Data types of primary-backup replication: epochs, positions, the register of a witness and the replicated
+// state. Messages between members are in messages.h.
 //
-// One epoch at a time is in force. Its record names the primary, the in-sync set (members that hold every
-// acknowledged state) and the witnesses, more than half of whom must store a record before it is in force.
-// The replicated state is one document with a position; there is no log.
+// One epoch is in force at a time. Its record names the primary, the in-sync set (the members that hold every
+// acknowledged state) and the witnesses, a majority of which must store a record before it takes effect. The
+// replicated state is one document with a position; there is no log.
 #pragma once
 
 #include <compare>
@@ -16,12 +16,12 @@
 
 namespace willowrill::replication {
 
-using MemberId = std::string; // control endpoint of a core member, "10.1.0.13:8166"
+using MemberId = std::string; // control endpoint of a core member, such as "10.1.0.13:8166"
 using Epoch = std::uint64_t;
 
-inline constexpr Epoch initial_epoch = 1; // of the first start, by the seeds alone
+inline constexpr Epoch initial_epoch = 1; // the epoch of the first start, formed by the seeds
 
-// Where a state stands: states of later epochs are newer; within an epoch only its primary numbers them.
+// Orders states. States of higher epochs are newer; within an epoch its primary assigns sequence numbers.
 struct Position {
     Epoch epoch = 0;
     std::uint64_t sequence = 0;
@@ -36,25 +36,25 @@
     bool operator==(const EpochRecord&) const = default;
 };
 
-// The durable part of a witness.
+// The durable data of a witness.
 struct WitnessRegister {
-    Epoch promised = 0;    // takes part in no epoch below this
-    EpochRecord accepted;  // the highest record stored
-    EpochRecord decided;   // the highest record known to be stored by enough witnesses
-    bool complete = false; // the replicated state on this disk was complete when it was last installed
+    Epoch promised = 0;    // the witness takes part in no lower epoch
+    EpochRecord accepted;  // the record with the highest epoch that was stored
+    EpochRecord decided;   // the highest record known to be accepted by a quorum
+    bool complete = false; // the replicated state on this disk was complete when last installed
     bool operator==(const WitnessRegister&) const = default;
 };
 
-// The durable part of a replica. The content is never changed once made, so that readers may keep it.
+// The durable data of a replica. The content is immutable, so that readers may share it.
 struct ReplicatedState {
     Position position;
     std::shared_ptr<const std::string> content = std::make_shared<const std::string>();
 };
 
-// Names a save; saves are carried out and answered in the order of their ids, which rise.
+// Identifies a save. Ids increase; saves are executed and answered in the order of their ids.
 using SaveId = std::uint64_t;
 
-// What is kept on disk. Each kind has a ring of records of its own, and the newest complete one counts.
+// A record on disk. Each type has its own ring of records, of which the newest complete one is valid.
 using DiskRecord = std::variant<WitnessRegister, ReplicatedState>;
 
 } // namespace willowrill::replication
--- a/tests/system/replication/cluster_test.cpp
+++ b/tests/system/replication/cluster_test.cpp
@@ -1,4 +1,4 @@
-// Random histories of the simulated core, judged by what operators and schedulers saw.
+// Random simulation runs of the core, checked by what operators and schedulers observed.
 #include "system/simulation/cluster.h"
 #include "system/simulation/plans.h"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-simulation::Scenario plan(const char* name) { return simulation::find_plan(name).value(); }
+simulation::Scenario find_scenario(const char* name) { return simulation::find_plan(name).value(); }
 
-void expect_kept(simulation::Scenario scenario, int from, int to) {
+void expect_no_violations(simulation::Scenario scenario, int from, int to) {
     std::size_t acknowledged = 0, faults = 0;
     for (int seed = from; seed < to; ++seed) {
         scenario.seed = static_cast<std::uint64_t>(seed);
@@ -28,21 +28,23 @@
 
 } // namespace
 
-Test(cluster, three_members_keep_every_promise) { expect_kept(plan("three"), 1, 80); }
+Test(cluster, three_members) { expect_no_violations(find_scenario("three"), 1, 80); }
 
-Test(cluster, six_members_two_of_whom_may_be_lost) { expect_kept(plan("six"), 1, 30); }
+Test(cluster, six_members_that_tolerate_two_losses) { expect_no_violations(find_scenario("six"), 1, 30); }
 
-Test(cluster, five_members_one_of_whom_may_be_lost) { expect_kept(plan("five"), 1, 20); }
+Test(cluster, five_members_that_tolerate_one_loss) { expect_no_violations(find_scenario("five"), 1, 20); }
 
-Test(cluster, faults_at_short_intervals) { expect_kept(plan("three-frequent"), 1, 40); }
+Test(cluster, faults_at_short_intervals) { expect_no_violations(find_scenario("three-frequent"), 1, 40); }
 
-Test(cluster, hundreds_of_orders_by_five_operators) { expect_kept(plan("three-many"), 1, 30); }
+Test(cluster, hundreds_of_orders_by_five_operators) {
+    expect_no_violations(find_scenario("three-many"), 1, 30);
+}
 
-Test(cluster, long_cuts) { expect_kept(plan("three-long-cuts"), 1, 30); }
+Test(cluster, long_network_partitions) { expect_no_violations(find_scenario("three-long-cuts"), 1, 30); }
 
-// Late copies meet bases that have moved on: the state is had whole, and nothing else changes.
-Test(cluster, states_travel_as_deltas) {
-    simulation::Scenario scenario = plan("three");
+// A late delta whose base is no longer the receiver's newest state makes the receiver get the whole state.
+Test(cluster, states_are_transferred_as_deltas) {
+    simulation::Scenario scenario = find_scenario("three");
     scenario.replays = 0.05;
     std::size_t deltas = 0, missing_bases = 0;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
@@ -57,9 +59,9 @@
     cr_assert_gt(missing_bases, 10U, "%zu missing bases", missing_bases);
 }
 
-// Rolled out and back at random, and finished in a part of the histories.
+// Upgrades are rolled out and back at random and finished in some of the runs.
 Test(cluster, members_that_change_their_version) {
-    simulation::Scenario scenario = plan("three-upgrades");
+    simulation::Scenario scenario = find_scenario("three-upgrades");
     std::size_t upgraded = 0;
     for (std::uint64_t seed = 1; seed < 60; ++seed) {
         scenario.seed = seed;
@@ -72,18 +74,18 @@
     cr_assert_lt(upgraded, 59U, "%zu upgraded", upgraded);
 }
 
-// The first fault of this kind: who wins each election and cannot serve must not hold up the others.
+// Guards against a member that wins every election but cannot serve and so blocks the other members.
 Test(cluster, a_member_that_fails_whenever_it_is_the_primary) {
-    expect_kept(plan("three-failing-primary"), 1, 40);
+    expect_no_violations(find_scenario("three-failing-primary"), 1, 40);
 }
 
-Test(cluster, one_seed_replays_a_run) {
+Test(cluster, the_same_seed_reproduces_a_run) {
     simulation::Scenario scenario;
     scenario.seed = 77;
-    const auto first = simulation::run(scenario), again = simulation::run(scenario);
-    cr_assert_eq(first.acknowledged, again.acknowledged);
-    cr_assert_eq(first.reads, again.reads);
-    cr_assert_eq(first.epochs, again.epochs);
-    cr_assert_eq(first.pushes, again.pushes);
+    const auto first = simulation::run(scenario), second = simulation::run(scenario);
+    cr_assert_eq(first.acknowledged, second.acknowledged);
+    cr_assert_eq(first.reads, second.reads);
+    cr_assert_eq(first.epochs, second.epochs);
+    cr_assert_eq(first.pushes, second.pushes);
     cr_assert_gt(first.acknowledged, 0U);
 }
--- a/tests/system/replication/durability_test.cpp
+++ b/tests/system/replication/durability_test.cpp
@@ -1,5 +1,4 @@
-// What a replica knows of its disk: saves in flight, what is deferred behind them, stalls, and when records
-// are written anew after a refusal.
+// Tests of `Durability`: saves in flight, deferred actions, stalls, and rewriting records after a failure.
 #include "system/replication/durability.h"
 
 #include <criterion/criterion.h>
@@ -10,9 +9,9 @@
 
 const Timing timing{};
 
-DeferredAction marked(const MemberId& member) { return Send{member, LeadershipTransfer{1}}; }
+DeferredAction action_named(const MemberId& member) { return Send{member, LeadershipTransfer{1}}; }
 
-std::string mark_of(const std::optional<DeferredAction>& action) {
+std::string name_in(const std::optional<DeferredAction>& action) {
     if (!action) return "none";
     const auto* send = std::get_if<Send>(&*action);
     return send == nullptr ? "other" : send->to;
@@ -20,7 +19,7 @@
 
 } // namespace
 
-Test(durability, saves_are_answered_in_their_order_and_other_answers_mean_nothing) {
+Test(durability, saves_are_answered_in_order_and_other_answers_are_ignored) {
     Durability disk(timing);
     const SaveId first = disk.issue(Time(0), ReplicatedState{}).save_id;
     const SaveId second = disk.issue(Time(0), ReplicatedState{}).save_id;
@@ -33,28 +32,28 @@
     cr_assert(disk.idle());
 }
 
-Test(durability, what_is_deferred_comes_behind_all_saves_issued_so_far) {
+Test(durability, deferred_actions_wait_for_all_saves_issued_so_far) {
     Durability disk(timing);
     const SaveId first = disk.issue(Time(0), ReplicatedState{}).save_id;
-    disk.defer(marked("a"));
+    disk.defer(action_named("a"));
     const SaveId second = disk.issue(Time(0), ReplicatedState{}).save_id;
-    disk.defer(marked("b"));
-    cr_assert_not(disk.take_due(first - 1).has_value());
+    disk.defer(action_named("b"));
+    cr_assert_not(disk.take_ready(first - 1).has_value());
     cr_assert(disk.on_saved(Time(1), first));
-    cr_assert(mark_of(disk.take_due(first)) == "a");
-    cr_assert_not(disk.take_due(first).has_value());
+    cr_assert(name_in(disk.take_ready(first)) == "a");
+    cr_assert_not(disk.take_ready(first).has_value());
     cr_assert(disk.on_saved(Time(2), second));
-    cr_assert(mark_of(disk.take_due(second)) == "b");
+    cr_assert(name_in(disk.take_ready(second)) == "b");
 }
 
-Test(durability, a_refusal_drops_what_is_deferred_and_doubles_the_pause) {
+Test(durability, a_failure_discards_deferred_actions_and_doubles_the_backoff) {
     Durability disk(timing);
     Time now{0};
     for (const int pause_ms : {200, 400, 800, 1000, 1000}) {
         const SaveId id = disk.issue(now, ReplicatedState{}).save_id;
-        disk.defer(marked("a"));
+        disk.defer(action_named("a"));
         cr_assert(disk.on_refused(now, id));
-        cr_assert_not(disk.take_due(id).has_value());
+        cr_assert_not(disk.take_ready(id).has_value());
         cr_assert_not(disk.may_restore(now + Time(pause_ms - 1)));
         now += Time(pause_ms);
         cr_assert(disk.may_restore(now));
@@ -65,7 +64,7 @@
     cr_assert(disk.may_restore(now + Time(200)));
 }
 
-Test(durability, records_are_not_written_anew_while_a_save_is_in_flight) {
+Test(durability, records_are_not_rewritten_while_a_save_is_in_flight) {
     Durability disk(timing);
     const SaveId first = disk.issue(Time(0), ReplicatedState{}).save_id;
     disk.issue(Time(0), ReplicatedState{});
@@ -73,19 +72,19 @@
     cr_assert_not(disk.may_restore(Time(60000)));
 }
 
-Test(durability, a_disk_that_answers_nothing_for_too_long_counts_as_lost_until_it_answers) {
+Test(durability, a_disk_is_unresponsive_after_the_timeout_until_it_answers) {
     Durability disk(timing);
-    cr_assert(disk.answers(Time(100000)));
+    cr_assert(disk.is_responsive(Time(100000)));
     const SaveId first = disk.issue(Time(1000), ReplicatedState{}).save_id;
     disk.issue(Time(1500), ReplicatedState{});
-    cr_assert(disk.answers(Time(1600)));
-    cr_assert_not(disk.answers(Time(1601)));
+    cr_assert(disk.is_responsive(Time(1600)));
+    cr_assert_not(disk.is_responsive(Time(1601)));
     disk.on_saved(Time(1700), first);
-    cr_assert(disk.answers(Time(2300)));
-    cr_assert_not(disk.answers(Time(2301)));
+    cr_assert(disk.is_responsive(Time(2300)));
+    cr_assert_not(disk.is_responsive(Time(2301)));
 }
 
-Test(durability, only_a_durable_register_says_that_the_state_is_complete) {
+Test(durability, only_a_durable_register_marks_the_state_as_complete) {
     Durability disk(timing);
     WitnessRegister complete;
     complete.complete = true;
--- a/tests/system/replication/primary_test.cpp
+++ b/tests/system/replication/primary_test.cpp
@@ -1,4 +1,4 @@
-// A replica as the primary: proposals, confirmations, and what it does when it cannot serve.
+// Tests of the primary: proposals, leadership confirmations, and stepping down when it cannot serve.
 #include "system/replication/replica.h"
 
 #include "replication/replica_driver.h"
@@ -13,82 +13,82 @@
 using namespace willowrill;
 using namespace willowrill::replication;
 
-Test(primary, an_order_is_committed_once_every_copy_is_durable_the_own_one_too) {
+Test(primary, a_proposal_is_committed_once_every_copy_including_its_own_is_durable) {
     ReplicaDriver member = primary();
-    member.mode = ReplicaDriver::DiskMode::holds;
+    member.mode = ReplicaDriver::DiskMode::delays;
     const auto proposed = member.step(1010, propose(member, 1, "x"));
-    const auto requests = sent<ReplicateRequest>(proposed);
-    cr_assert_eq(requests.size(), 2U, "the others need not wait for this disk");
+    const auto requests = messages_of<ReplicateRequest>(proposed);
+    cr_assert_eq(requests.size(), 2U, "requests are sent without waiting for this disk");
     const Position position = requests[0].state.position;
     const Epoch epoch = requests[0].epoch;
     member.receive(1020, "b:1", ReplicateReply{epoch, position, true, epoch});
-    cr_assert(
-        done<Committed>(member.receive(1021, "c:1", ReplicateReply{epoch, position, true, epoch})).empty());
-    cr_assert_eq(done<Committed>(member.release(1030)).size(), 1U);
+    cr_assert(actions_of<Committed>(member.receive(1021, "c:1", ReplicateReply{epoch, position, true, epoch}))
+                  .empty());
+    cr_assert_eq(actions_of<Committed>(member.complete_delayed_saves(1030)).size(), 1U);
 }
 
-Test(primary, a_refused_save_transfers_leadership_and_leaves_the_outcome_unknown) {
+Test(primary, a_failed_save_transfers_leadership_and_leaves_the_outcome_unknown) {
     ReplicaDriver member = primary();
     answer_heartbeats(member, 1005, member.step(1300, Tick{}));
-    member.mode = ReplicaDriver::DiskMode::refuses;
+    member.mode = ReplicaDriver::DiskMode::fails;
     const auto actions = member.step(1310, propose(member, 1, "x"));
-    cr_assert_eq(done<OutcomeUnknown>(actions).size(), 1U);
-    cr_assert_eq(sent<LeadershipTransfer>(actions).size(), 1U);
+    cr_assert_eq(actions_of<OutcomeUnknown>(actions).size(), 1U);
+    cr_assert_eq(messages_of<LeadershipTransfer>(actions).size(), 1U);
     cr_assert(member.replica.role() == Role::storage_failed);
 }
 
 Test(primary, a_stalled_disk_transfers_leadership_too) {
     ReplicaDriver member = primary();
-    member.mode = ReplicaDriver::DiskMode::holds;
+    member.mode = ReplicaDriver::DiskMode::delays;
     member.step(1010, propose(member, 1, "x"));
-    std::size_t transfers = 0, unknown = 0;
+    std::size_t transfer_count = 0, unknown_count = 0;
     for (int at = 1050; at <= 2000 && member.replica.is_primary(); at += 50) {
         const auto actions = member.step(at, Tick{});
-        transfers += sent<LeadershipTransfer>(actions).size();
-        unknown += done<OutcomeUnknown>(actions).size();
+        transfer_count += messages_of<LeadershipTransfer>(actions).size();
+        unknown_count += actions_of<OutcomeUnknown>(actions).size();
         answer_heartbeats(member, at, actions);
     }
     cr_assert_not(member.replica.is_primary());
-    cr_assert_eq(transfers, 1U);
-    cr_assert_eq(unknown, 1U);
+    cr_assert_eq(transfer_count, 1U);
+    cr_assert_eq(unknown_count, 1U);
 }
 
-Test(primary, a_proposal_without_an_answer_is_sent_again) {
+Test(primary, a_proposal_without_an_answer_is_resent) {
     ReplicaDriver member = primary();
     member.step(1010, propose(member, 1, "x"));
-    std::size_t again = 0;
+    std::size_t resent_count = 0;
     for (int at = 1050; at <= 1500; at += 50) {
         const auto actions = member.step(at, Tick{});
-        again += sent<ReplicateRequest>(actions).size();
+        resent_count += messages_of<ReplicateRequest>(actions).size();
         answer_heartbeats(member, at, actions);
     }
-    cr_assert_geq(again, 2U);
+    cr_assert_geq(resent_count, 2U);
 }
 
-Test(primary, an_order_on_another_state_than_the_newest_is_not_taken) {
+Test(primary, a_proposal_not_based_on_the_newest_state_is_rejected) {
     ReplicaDriver member = primary();
-    cr_assert_eq(done<OutcomeUnknown>(member.step(1010, Propose{1, {7, 7}, "x"})).size(), 1U);
+    cr_assert_eq(actions_of<OutcomeUnknown>(member.step(1010, Propose{1, {7, 7}, "x"})).size(), 1U);
 }
 
-Test(primary, one_that_reaches_nobody_says_so_at_once) {
+Test(primary, a_confirmation_without_contact_fails_immediately) {
     ReplicaDriver member = primary();
-    cr_assert_eq(done<OutcomeUnknown>(member.step(3000, ConfirmLeadership{5})).size(), 1U);
+    cr_assert_eq(actions_of<OutcomeUnknown>(member.step(3000, ConfirmLeadership{5})).size(), 1U);
 }
 
 Test(primary, a_confirmation_without_a_quorum_times_out) {
     ReplicaDriver member = primary();
-    cr_assert(done<OutcomeUnknown>(member.step(1010, ConfirmLeadership{5})).empty());
-    std::size_t timed_out = 0;
+    cr_assert(actions_of<OutcomeUnknown>(member.step(1010, ConfirmLeadership{5})).empty());
+    std::size_t timed_out_count = 0;
     for (int at = 1050; at <= 1800; at += 50)
-        timed_out += done<OutcomeUnknown>(member.step(at, Tick{})).size();
-    cr_assert_eq(timed_out, 1U);
+        timed_out_count += actions_of<OutcomeUnknown>(member.step(at, Tick{})).size();
+    cr_assert_eq(timed_out_count, 1U);
 }
 
 namespace {
 
-// The members named answer all that is asked of them, and what is asked in return.
-void answer_all(ReplicaDriver& member, int at, const std::vector<Action>& actions,
-                const std::vector<MemberId>& answering) {
+// Lets the `answering` members reply to every request among the actions, and to the requests that result.
+void answer_requests(ReplicaDriver& member, int at, const std::vector<Action>& actions,
+                     const std::vector<MemberId>& answering) {
     for (const Action& action : actions) {
         const auto* send = std::get_if<Send>(&action);
         if (send == nullptr || std::ranges::find(answering, send->to) == answering.end()) continue;
@@ -110,20 +110,20 @@
             reply = InstallReply{install->epoch, true, install->epoch};
         if (const auto* accept = std::get_if<AcceptRequest>(&send->message))
             reply = AcceptReply{accept->record.epoch, true, accept->record.epoch};
-        if (reply) answer_all(member, at, member.receive(at, send->to, *reply), answering);
+        if (reply) answer_requests(member, at, member.receive(at, send->to, *reply), answering);
     }
 }
 
 } // namespace
 
-// A connection that was replaced may deliver what its sender, which is gone by now, said long ago.
-Test(primary, late_copies_of_replies_do_not_keep_a_lost_witness) {
+// Guards against keeping a lost witness because a replaced connection delivers its old replies late.
+Test(primary, late_duplicates_of_replies_do_not_keep_a_lost_witness) {
     ReplicaDriver member = primary();
     const Epoch first_epoch = member.replica.witness_register().decided.epoch;
-    answer_all(member, 1000, member.step(1000, PeerConnected{"d:1"}), {"d:1"});
+    answer_requests(member, 1000, member.step(1000, PeerConnected{"d:1"}), {"d:1"});
     member.step(1100, PeerDisconnected{"b:1"});
     for (int at = 1150; at <= 5500; at += 50) {
-        answer_all(member, at, member.step(at, Tick{}), {"c:1", "d:1"});
+        answer_requests(member, at, member.step(at, Tick{}), {"c:1", "d:1"});
         const Epoch epoch = member.replica.witness_register().decided.epoch;
         if (at % 500 == 0) {
             member.receive(at, "b:1",
--- a/tests/system/replication/recovery_test.cpp
+++ b/tests/system/replication/recovery_test.cpp
@@ -1,4 +1,4 @@
-// A replica whose disk was lost.
+// Tests of a replica whose disk was lost.
 #include "system/replication/replica.h"
 
 #include "replication/replica_driver.h"
@@ -9,38 +9,41 @@
 using namespace willowrill;
 using namespace willowrill::replication;
 
-Test(recovery, an_empty_disk_neither_votes_nor_counts) {
+Test(recovery, a_member_with_an_empty_disk_neither_votes_nor_stores) {
     ReplicaDriver member(options("b:1", false));
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::recovering));
-    cr_assert_not(sent<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false}))[0].granted);
-    cr_assert_not(sent<AcceptReply>(member.receive(1, "a:1", AcceptRequest{record(7, "a:1")}))[0].stored);
+    cr_assert_not(messages_of<PrepareReply>(member.receive(0, "a:1", PrepareRequest{7, false}))[0].granted);
+    cr_assert_not(
+        messages_of<AcceptReply>(member.receive(1, "a:1", AcceptRequest{record(7, "a:1")}))[0].stored);
     const ReplicatedState state{{7, 1}, std::make_shared<const std::string>("x")};
-    cr_assert_not(sent<ReplicateReply>(member.receive(2, "a:1", ReplicateRequest{7, state}))[0].stored);
     cr_assert_not(
-        sent<HeartbeatReply>(member.receive(3, "a:1", Heartbeat{1, record(7, "a:1"), {}}))[0].voting);
+        messages_of<ReplicateReply>(member.receive(2, "a:1", ReplicateRequest{7, state}))[0].stored);
+    cr_assert_not(
+        messages_of<HeartbeatReply>(member.receive(3, "a:1", Heartbeat{1, record(7, "a:1"), {}}))[0].voting);
 }
 
-Test(recovery, it_takes_both_others_and_the_highest_promise) {
+Test(recovery, it_needs_both_other_members_and_adopts_the_highest_promise) {
     ReplicaDriver member(options("b:1", false));
     member.step(0, PeerConnected{"a:1"});
     member.step(0, PeerConnected{"c:1"});
-    const auto asked = sent<RecoveryRequest>(member.step(1, Tick{}));
-    cr_assert_eq(asked.size(), 2U);
-    member.receive(2, "a:1", RecoveryReply{asked[0].nonce, true, voted(12, 9)});
+    const auto requests = messages_of<RecoveryRequest>(member.step(1, Tick{}));
+    cr_assert_eq(requests.size(), 2U);
+    member.receive(2, "a:1", RecoveryReply{requests[0].nonce, true, complete_register(12, 9)});
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::recovering));
-    member.receive(3, "c:1", RecoveryReply{asked[0].nonce + 1, true, voted(9, 9)}); // of another life
+    member.receive(3, "c:1",
+                   RecoveryReply{requests[0].nonce + 1, true, complete_register(9, 9)}); // another process
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::recovering));
-    member.receive(4, "c:1", RecoveryReply{asked[0].nonce, true, voted(9, 9)});
+    member.receive(4, "c:1", RecoveryReply{requests[0].nonce, true, complete_register(9, 9)});
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::backup));
     cr_assert_eq(member.witness_register()->promised, 12U);
-    cr_assert_not(member.witness_register()->complete, "its copy is gone and must not be taken for complete");
+    cr_assert_not(member.witness_register()->complete, "its copy is lost and must not be marked as complete");
 }
 
-Test(recovery, a_member_that_recovers_itself_does_not_count) {
+Test(recovery, replies_of_a_recovering_member_do_not_count) {
     ReplicaDriver member(options("b:1", false));
     member.step(0, PeerConnected{"a:1"});
-    const auto asked = sent<RecoveryRequest>(member.step(1, Tick{}));
-    member.receive(2, "a:1", RecoveryReply{asked[0].nonce, true, voted(12, 9)});
-    member.receive(3, "c:1", RecoveryReply{asked[0].nonce, false, voted(12, 9)});
+    const auto requests = messages_of<RecoveryRequest>(member.step(1, Tick{}));
+    member.receive(2, "a:1", RecoveryReply{requests[0].nonce, true, complete_register(12, 9)});
+    member.receive(3, "c:1", RecoveryReply{requests[0].nonce, false, complete_register(12, 9)});
     cr_assert_eq(static_cast<int>(member.replica.role()), static_cast<int>(Role::recovering));
 }
