--- a/src/system/configuration/control_state.cpp
+++ b/src/system/configuration/control_state.cpp
@@ -57,11 +57,11 @@
     return {ErrorKind::version_conflict, fmt::format("version {} is current", state.version)};
 }
 
-void remember(ControlState& state, const TakenOrder& order) {
-    state.taken.push_back(order);
-    if (state.taken.size() <= max_taken) return;
-    state.forgotten_through = state.taken.front().version;
-    state.taken.pop_front();
+void remember(ControlState& state, const AcceptedOrder& order) {
+    state.accepted_orders.push_back(order);
+    if (state.accepted_orders.size() <= max_accepted_orders) return;
+    state.forgotten_through = state.accepted_orders.front().version;
+    state.accepted_orders.pop_front();
 }
 
 std::optional<Error> too_large(const ControlState& state) {
@@ -96,7 +96,8 @@
 // than the current one, and else takes effect: `make_text` says what the configuration becomes.
 Result<Applied> take(const ControlState& state, const std::optional<Version>& based_on,
                      const OrderDigest& digest, const std::function<Result<std::string>()>& make_text) {
-    if (std::ranges::count(state.taken, digest, &TakenOrder::digest) > 0) return Applied{Unchanged{}};
+    if (std::ranges::count(state.accepted_orders, digest, &AcceptedOrder::digest) > 0)
+        return Applied{Unchanged{}};
     if (!based_on) return Error{ErrorKind::invalid_configuration, "If-Match must name a version"};
     if (*based_on != state.version) return conflict(state, *based_on);
     auto text = make_text();
@@ -138,7 +139,7 @@
 // All but the cluster version and the configuration.
 Json encode_orders(const ControlState& state) {
     Json taken = Json::array();
-    for (const TakenOrder& order : state.taken)
+    for (const AcceptedOrder& order : state.accepted_orders)
         taken.push_back(Json{to_hex(order.digest), order.version});
     return Json{{"version", state.version},
                 {"evacuated", state.evacuated_zones},
@@ -150,7 +151,7 @@
     json.at("version").get_to(out.version);
     json.at("evacuated").get_to(out.evacuated_zones);
     for (const Json& order : json.at("taken"))
-        out.taken.push_back({from_hex(order.at(0).get<std::string>()), order.at(1).get<Version>()});
+        out.accepted_orders.push_back({from_hex(order.at(0).get<std::string>()), order.at(1).get<Version>()});
     json.at("forgotten_through").get_to(out.forgotten_through);
 }
 
--- a/src/system/configuration/control_state.h
+++ b/src/system/configuration/control_state.h
@@ -23,25 +23,25 @@
 using OrderDigest = digest::Sha256;
 
 // A configuration order that was taken.
-struct TakenOrder {
+struct AcceptedOrder {
     OrderDigest digest{};
     Version version = 0;
-    bool operator==(const TakenOrder&) const = default;
+    bool operator==(const AcceptedOrder&) const = default;
 };
 
 struct ControlState {
     Version version = 0;       // 0: there is no configuration yet
     std::string configuration; // whole: as the operator sent it, or with its changes applied
     std::set<std::string> evacuated_zones;
-    std::deque<TakenOrder> taken;  // at most `max_taken`, the oldest first
-    Version forgotten_through = 0; // orders up to this version are not among `taken` any more
+    std::deque<AcceptedOrder> accepted_orders; // at most `max_accepted_orders`, the oldest first
+    Version forgotten_through = 0;             // orders up to this version are not among `taken` any more
     // Of the protocol: lower ones are spoken no more.
     protocol::Version cluster_version = protocol::initial_cluster_version;
 };
 
 // Orders remembered. An operator has at most eight orders under way and sends one again within seconds, so
 // hundreds would have to be taken in between before one of them is forgotten.
-inline constexpr std::size_t max_taken = 1024;
+inline constexpr std::size_t max_accepted_orders = 1024;
 
 // What members can keep: the longest encoded state, and the room of its packed record on their disks. An
 // order that needs more of either is refused. Two of the longest bodies that operators may send fit.
--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -78,7 +78,7 @@
 }
 
 void ControlPlane::refresh_levels() {
-    metrics_.set(metrics::Level::sessions, static_cast<double>(sessions_.sessions()));
+    metrics_.set(metrics::Level::sessions, static_cast<double>(sessions_.session_count()));
     metrics_.set(metrics::Level::is_primary, node_.is_primary() ? 1 : 0);
     metrics_.set(metrics::Level::epoch, static_cast<double>(node_.witness_register().decided.epoch));
     metrics_.set(metrics::Level::members, static_cast<double>(leases_.leases().size()));
@@ -259,7 +259,7 @@
     const distribution::SessionId id = ++last_session_;
     schedulers_[id] = connection;
     connection->observe_sent_frames(counter("scheduler", metrics::Crossing::unknown));
-    sessions_.adopt(id);
+    sessions_.add_session(id);
     return id;
 }
 
--- a/src/system/control/endpoint_list_service.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -64,7 +64,7 @@
 }
 
 void EndpointListService::apply_list(const discovery::ZoneList& list) {
-    if (!catalogue_.take(list)) return;
+    if (!catalogue_.update(list)) return;
     if (assigner_) assigner_->on_owner_activity(list.zone, list.token, steady_now());
     const Clock::time_point now = Clock::now();
     PublishedZone& before = published_[list.zone];
--- a/src/system/control/page_reader.cpp
+++ b/src/system/control/page_reader.cpp
@@ -45,10 +45,10 @@
         return callbacks_.failed(Failure::unreadable);
     }
     std::vector<discovery::Instance>& found = page.value().instances;
-    const bool has_next = page.value().next && ++pages_ < max_pages;
+    const bool has_next = page.value().next_token && ++pages_ < max_pages;
     if (has_next) callbacks_.full_page(found.size());
     std::ranges::move(found, std::back_inserter(instances_));
-    if (has_next) return read_page(*page.value().next);
+    if (has_next) return read_page(*page.value().next_token);
     callbacks_.read(std::exchange(instances_, {}));
 }
 
--- a/src/system/control/platform_poller.cpp
+++ b/src/system/control/platform_poller.cpp
@@ -43,7 +43,8 @@
 }
 
 bool PlatformPoller::reads_all_at_once() const {
-    return zones_.size() >= zone_count_ && plan_.next(zones_.size()) == discovery::ReadPlan::Way::all_at_once;
+    return zones_.size() >= zone_count_ &&
+           plan_.next(zones_.size()) == discovery::ReadPlan::Strategy::all_at_once;
 }
 
 bool PlatformPoller::reads_a_zone() const {
--- a/src/system/data/core_connection.cpp
+++ b/src/system/data/core_connection.cpp
@@ -103,6 +103,8 @@
     connection_->send(messages::encode(message));
 }
 
-void CoreConnection::carry_out(const distribution::Pushed& pushed) { callbacks_.on_update(pushed.message); }
+void CoreConnection::carry_out(const distribution::DeliverUpdate& pushed) {
+    callbacks_.on_update(pushed.message);
+}
 
 } // namespace willowrill::data
--- a/src/system/data/core_connection.h
+++ b/src/system/data/core_connection.h
@@ -43,7 +43,7 @@
     void carry_out(const distribution::Dial& dial);
     void carry_out(const distribution::Disconnect&);
     void carry_out(const distribution::RenewLease& renewal);
-    void carry_out(const distribution::Pushed& pushed);
+    void carry_out(const distribution::DeliverUpdate& pushed);
     void on_connected(const transport::FrameConnectionPtr& connection);
     void on_document(const nlohmann::json& document);
     void on_unknown(const messages::UnknownMessage& message);
--- a/src/system/data/data_plane.cpp
+++ b/src/system/data/data_plane.cpp
@@ -252,7 +252,7 @@
 
 void DataPlane::on(const messages::ZoneListUpdate& update) {
     const discovery::ZoneList& list = update.list;
-    if (!catalogue_.take(list)) return;
+    if (!catalogue_.update(list)) return;
     const routing::Time now = steady_now();
     std::set<std::string> listed;
     for (const discovery::Instance& instance : list.instances) {
--- a/src/system/discovery/instances.cpp
+++ b/src/system/discovery/instances.cpp
@@ -31,7 +31,7 @@
         for (const Json& entry : json.at("instances"))
             if (auto instance = read_instance(entry)) page.instances.push_back(std::move(*instance));
         if (json.contains("nextToken") && json.at("nextToken").is_string())
-            page.next = json.at("nextToken").get<std::string>();
+            page.next_token = json.at("nextToken").get<std::string>();
     } catch (const std::exception& error) {
         return errors::Error{errors::ErrorKind::malformed_request, error.what()};
     }
@@ -51,7 +51,7 @@
     return std::ranges::equal(before, after, alike);
 }
 
-bool Catalogue::take(const ZoneList& list) {
+bool Catalogue::update(const ZoneList& list) {
     const auto found = zones_.find(list.zone);
     if (found != zones_.end()) {
         const ZoneList& held = found->second;
--- a/src/system/discovery/instances.h
+++ b/src/system/discovery/instances.h
@@ -32,7 +32,7 @@
 
 struct Page {
     std::vector<Instance> instances;
-    std::optional<std::string> next; // token of the next page
+    std::optional<std::string> next_token; // token of the next page
 };
 
 // Instances that make no sense are left out; a page that cannot be read at all is an error.
@@ -62,7 +62,7 @@
 class Catalogue {
   public:
     // Says whether the list was taken in: not older than what is held, by token and serial.
-    bool take(const ZoneList& list);
+    bool update(const ZoneList& list);
     const std::map<std::string, ZoneList>& zones() const { return zones_; }
 
   private:
--- a/src/system/discovery/read_plan.h
+++ b/src/system/discovery/read_plan.h
@@ -12,7 +12,7 @@
 
 class ReadPlan {
   public:
-    enum class Way { each_zone, all_at_once };
+    enum class Strategy { each_zone, all_at_once };
 
     // Pages of one reading are asked for one after the other: more than so many would take too long.
     static constexpr std::size_t max_pages_at_once = 8;
@@ -24,7 +24,7 @@
 
     // How to read next, for the member that reads all of these zones. The one that takes fewer calls, by the
     // newest sizes known; before anything is known, all at once.
-    Way next(std::size_t zones) const;
+    Strategy next(std::size_t zones) const;
 
   private:
     std::size_t pages_of(std::size_t instances) const;
--- a/src/system/distribution/core_session.cpp
+++ b/src/system/distribution/core_session.cpp
@@ -126,7 +126,7 @@
     answered_ = now_;
     if (std::holds_alternative<messages::HelloReply>(received.message)) return;
     if (const auto* ack = std::get_if<messages::LeaseAck>(&received.message)) return on_lease_ack(*ack);
-    actions_->emplace_back(Pushed{received.message});
+    actions_->emplace_back(DeliverUpdate{received.message});
 }
 
 void CoreSession::on_refusal(const messages::HelloRefusal& refusal) {
--- a/src/system/distribution/core_session.h
+++ b/src/system/distribution/core_session.h
@@ -43,10 +43,10 @@
     std::uint64_t renewal = 0;
 };
 // A state, the members or a list of workers, for the scheduler to take in.
-struct Pushed {
+struct DeliverUpdate {
     messages::CoreUpdate message;
 };
-using SessionAction = std::variant<Dial, Disconnect, RenewLease, Pushed>;
+using SessionAction = std::variant<Dial, Disconnect, RenewLease, DeliverUpdate>;
 
 class CoreSession {
   public:
--- a/src/system/distribution/scheduler_sessions.cpp
+++ b/src/system/distribution/scheduler_sessions.cpp
@@ -9,7 +9,7 @@
 
 using messages::frame_of;
 
-void SchedulerSessions::adopt(SessionId id) {
+void SchedulerSessions::add_session(SessionId id) {
     if (sessions_.size() >= membership::max_leases) return callbacks_.close(id);
     send_state(id, sessions_[id]);
     if (members_snapshot_) callbacks_.send(id, members_snapshot_);
--- a/src/system/distribution/scheduler_sessions.h
+++ b/src/system/distribution/scheduler_sessions.h
@@ -38,7 +38,7 @@
     };
     explicit SchedulerSessions(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
 
-    void adopt(SessionId id);
+    void add_session(SessionId id);
     void on_message(SessionId id, const messages::SchedulerMessage& message);
     void on_closed(SessionId id);
 
@@ -48,7 +48,7 @@
     void flush();
     void publish_zone(const discovery::ZoneList& list);
 
-    std::size_t sessions() const { return sessions_.size(); }
+    std::size_t session_count() const { return sessions_.size(); }
 
   private:
     struct Session {
--- a/src/system/simulation/member.cpp
+++ b/src/system/simulation/member.cpp
@@ -347,7 +347,7 @@
     if (!can_read(*state.content)) return; // an older program reports it, and knows no newer state
     raise_cluster_version(configuration::cluster_version_of(*state.content));
     auto decoded = configuration::decode(*state.content).value();
-    if (break_forgets_orders) decoded.taken.clear();
+    if (break_forgets_orders) decoded.accepted_orders.clear();
     orders_->on_state(decoded, state.position);
     if (decoded.version > 0) hub_->publish_state(state.position, decoded);
 }
@@ -372,7 +372,7 @@
 
 distribution::SessionId Member::accept_scheduler(ToScheduler send, std::function<void()> close) {
     schedulers_[++last_session_] = {std::move(send), std::move(close)};
-    hub_->adopt(last_session_);
+    hub_->add_session(last_session_);
     return last_session_;
 }
 
--- a/src/system/simulation/scheduler.cpp
+++ b/src/system/simulation/scheduler.cpp
@@ -121,7 +121,7 @@
         });
 }
 
-void Scheduler::carry_out(const distribution::Pushed& pushed) {
+void Scheduler::carry_out(const distribution::DeliverUpdate& pushed) {
     if (const auto* snapshot = std::get_if<messages::StateSnapshot>(&pushed.message))
         return take_in(distribution::apply(*snapshot, active_state()));
     if (const auto* delta = std::get_if<messages::StateDelta>(&pushed.message))
--- a/src/system/simulation/scheduler.h
+++ b/src/system/simulation/scheduler.h
@@ -35,7 +35,7 @@
     void carry_out(const distribution::Dial& dial);
     void carry_out(const distribution::Disconnect&);
     void carry_out(const distribution::RenewLease& renewal);
-    void carry_out(const distribution::Pushed& pushed);
+    void carry_out(const distribution::DeliverUpdate& pushed);
     std::optional<distribution::ActiveState> active_state() const;
     void take_in(errors::Result<distribution::StateUpdateResult> result);
     void on_connected(const ConnectionPtr& connection, Member& member);
--- a/tests/system/configuration/configuration_test.cpp
+++ b/tests/system/configuration/configuration_test.cpp
@@ -195,11 +195,11 @@
 // A thousand orders and more: the newest are acknowledged again, of the oldest nothing is claimed either way.
 Test(orders, one_sent_again_is_acknowledged_or_unclear_and_never_refused) {
     ControlState state;
-    const int orders = static_cast<int>(max_taken) + 200;
+    const int orders = static_cast<int>(max_accepted_orders) + 200;
     for (int version = 1; version <= orders; ++version)
         state = applied(state, change(static_cast<Version>(version - 1), version));
     state = decode(encode(state)).value();
-    cr_assert_eq(state.taken.size(), max_taken);
+    cr_assert_eq(state.accepted_orders.size(), max_accepted_orders);
     int acknowledged = 0, unclear = 0;
     for (int version = 1; version <= orders; ++version) {
         const auto again =
@@ -213,7 +213,7 @@
             ++unclear;
         }
     }
-    cr_assert_eq(acknowledged, static_cast<int>(max_taken));
+    cr_assert_eq(acknowledged, static_cast<int>(max_accepted_orders));
     cr_assert_eq(unclear, 200);
     // One that was surely not taken is refused.
     const auto late =
@@ -233,16 +233,16 @@
 // The version and the body are told apart: "1" before "2:..." is not "12" before ":...".
 Test(orders, the_identity_of_an_order_has_no_ambiguous_join) {
     const ControlState state = applied({}, change(0, 5));
-    cr_assert_neq(state.taken.at(0).digest.size(), 0U);
+    cr_assert_neq(state.accepted_orders.at(0).digest.size(), 0U);
     const ControlState other = applied({}, PutConfiguration{0, " " + change(0, 5).body});
-    cr_assert(!(state.taken.at(0).digest == other.taken.at(0).digest));
+    cr_assert(!(state.accepted_orders.at(0).digest == other.accepted_orders.at(0).digest));
 }
 
 // SHA-256 by its published test vector: "0:" and the body are what is hashed.
 Test(orders, the_identity_is_a_sha_256_that_survives_encoding) {
     const ControlState state = applied({}, change(0, 5));
     const ControlState again = decode(encode(state)).value();
-    cr_assert(again.taken == state.taken);
+    cr_assert(again.accepted_orders == state.accepted_orders);
     cr_assert_not(static_cast<bool>(decode(
         R"({"version":1,"configuration":"","evacuated":[],"taken":[["00",1]],"forgotten_through":0})")));
     cr_assert_not(static_cast<bool>(
@@ -320,7 +320,7 @@
     cr_assert_eq(read.value().cluster_version, 4);
     cr_assert_eq(read.value().version, 2);
     cr_assert(read.value().evacuated_zones.contains("hall-a"));
-    cr_assert(read.value().taken == state.taken);
+    cr_assert(read.value().accepted_orders == state.accepted_orders);
     expect_text(read.value().configuration, state.configuration);
     cr_assert_eq(cluster_version_of(encode(state)), 4);
 }
--- a/tests/system/configuration/patch_test.cpp
+++ b/tests/system/configuration/patch_test.cpp
@@ -75,7 +75,7 @@
     expected["services"].push_back({{"name", "u"}});
     cr_assert(json::parse(state.configuration) == expected, "%s", state.configuration.c_str());
     cr_assert_eq(state.version, 7U);
-    cr_assert_eq(state.taken.size(), 2U);
+    cr_assert_eq(state.accepted_orders.size(), 2U);
 }
 
 Test(patch, numbers_keep_their_kind_and_value) {
--- a/tests/system/discovery/instances_test.cpp
+++ b/tests/system/discovery/instances_test.cpp
@@ -9,11 +9,11 @@
 
 Test(catalogue, a_list_read_under_an_older_token_is_rejected) {
     discovery::Catalogue catalogue;
-    cr_assert(catalogue.take({"z", {3, 1}, 5, {}}));
-    cr_assert_not(catalogue.take({"z", {3, 1}, 5, {}}));
-    cr_assert_not(catalogue.take({"z", {2, 9}, 99, {}}));
-    cr_assert(catalogue.take({"z", {3, 2}, 1, {}}));
-    cr_assert_not(catalogue.take({"z", {3, 1}, 6, {}}));
+    cr_assert(catalogue.update({"z", {3, 1}, 5, {}}));
+    cr_assert_not(catalogue.update({"z", {3, 1}, 5, {}}));
+    cr_assert_not(catalogue.update({"z", {2, 9}, 99, {}}));
+    cr_assert(catalogue.update({"z", {3, 2}, 1, {}}));
+    cr_assert_not(catalogue.update({"z", {3, 1}, 6, {}}));
 }
 
 Test(instances, a_page_is_parsed_and_invalid_instances_are_left_out) {
@@ -25,8 +25,9 @@
     const discovery::Instance& read = page.value().instances[0];
     cr_assert(read.state == discovery::InstanceState::draining);
     cr_assert_eq(read.cold_remaining.count(), 1500);
-    expect_text(page.value().next->c_str(), "p-50");
-    cr_assert_not(discovery::parse_page(R"({"instances":[],"nextToken":null})").value().next.has_value());
+    expect_text(page.value().next_token->c_str(), "p-50");
+    cr_assert_not(
+        discovery::parse_page(R"({"instances":[],"nextToken":null})").value().next_token.has_value());
     for (const char* bad : {"", "[]", "{}", R"({"instances":[1]})", R"({"instances":[{"instanceId":5}]})"})
         cr_assert_not(static_cast<bool>(discovery::parse_page(bad)), "%s", bad);
     cr_assert(nlohmann::json(read).get<discovery::Instance>() == read);
--- a/tests/system/discovery/read_plan_test.cpp
+++ b/tests/system/discovery/read_plan_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 
 using willowrill::discovery::ReadPlan;
-using Way = ReadPlan::Way;
+using Strategy = ReadPlan::Strategy;
 
 namespace {
 
@@ -20,31 +20,31 @@
 } // namespace
 
 Test(read_plan, before_anything_is_known_all_zones_are_asked_for_at_once) {
-    cr_assert(ReadPlan().next(3) == Way::all_at_once);
-    cr_assert(ReadPlan().next(1) == Way::each_zone, "one zone alone is one call either way");
+    cr_assert(ReadPlan().next(3) == Strategy::all_at_once);
+    cr_assert(ReadPlan().next(1) == Strategy::each_zone, "one zone alone is one call either way");
 }
 
 Test(read_plan, short_lists_fit_in_fewer_pages_together) {
     ReadPlan plan = with_zones(6, 11);
     plan.on_full_page(50);
-    cr_assert(plan.next(6) == Way::all_at_once, "2 pages in place of 6");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "2 pages in place of 6");
 }
 
 Test(read_plan, long_lists_are_read_zone_by_zone) {
     ReadPlan plan = with_zones(6, 50);
     plan.on_full_page(50);
-    cr_assert(plan.next(6) == Way::each_zone, "6 pages either way");
+    cr_assert(plan.next(6) == Strategy::each_zone, "6 pages either way");
     ReadPlan longer = with_zones(6, 70);
     longer.on_full_page(50);
-    cr_assert(longer.next(6) == Way::each_zone, "9 pages in a row would take too long");
+    cr_assert(longer.next(6) == Strategy::each_zone, "9 pages in a row would take too long");
 }
 
 Test(read_plan, a_page_size_that_changes_is_followed) {
     ReadPlan plan = with_zones(6, 11);
     plan.on_full_page(10);
-    cr_assert(plan.next(6) == Way::all_at_once, "7 pages in place of 12");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "7 pages in place of 12");
     plan.on_full_page(0);
-    cr_assert(plan.next(6) == Way::all_at_once, "an empty page says nothing");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "an empty page says nothing");
     plan.on_full_page(5);
-    cr_assert(plan.next(6) == Way::each_zone);
+    cr_assert(plan.next(6) == Strategy::each_zone);
 }
--- a/tests/system/distribution/core_session_test.cpp
+++ b/tests/system/distribution/core_session_test.cpp
@@ -37,7 +37,7 @@
         session.step(SteadyTime(at_ms), event, actions);
         for (const SessionAction& action : actions) {
             if (const auto* dial = std::get_if<Dial>(&action)) dialled.push_back(dial->host);
-            if (const auto* push = std::get_if<Pushed>(&action)) pushed.push_back(push->message);
+            if (const auto* push = std::get_if<DeliverUpdate>(&action)) pushed.push_back(push->message);
             renewals += std::holds_alternative<RenewLease>(action) ? 1 : 0;
             disconnects += std::holds_alternative<Disconnect>(action) ? 1 : 0;
         }
--- a/tests/system/distribution/scheduler_sessions_test.cpp
+++ b/tests/system/distribution/scheduler_sessions_test.cpp
@@ -65,7 +65,7 @@
     FakeMember member;
     member.current = false;
     member.sessions.publish_state({3, 1}, state_of(6));
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     member.sessions.on_message(1, renewal());
     cr_assert_eq(member.count(1, "state"), 0);
     cr_assert_eq(member.count(1, "beat"), 1);
@@ -80,7 +80,7 @@
 // A member that is cut off may still learn of a state that is old by now: nobody gets it there.
 Test(scheduler_sessions, a_member_that_is_behind_sends_no_state) {
     FakeMember member;
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     member.current = false;
     member.sessions.publish_state({3, 1}, state_of(6));
     cr_assert_eq(member.count(1, "state"), 0);
@@ -95,9 +95,9 @@
     FakeMember member;
     member.current = false;
     member.sessions.publish_state({3, 5}, state_of(6));
-    member.sessions.adopt(1);
-    member.sessions.adopt(2);
-    member.sessions.adopt(3);
+    member.sessions.add_session(1);
+    member.sessions.add_session(2);
+    member.sessions.add_session(3);
     member.sessions.on_message(1, renewal(replication::Position{3, 4}));
     member.sessions.on_message(2, renewal(replication::Position{4, 1}));
     member.sessions.on_message(3, renewal());
@@ -109,10 +109,10 @@
 Test(scheduler_sessions, sessions_are_bounded) {
     FakeMember member;
     for (SessionId id = 1; id <= membership::max_leases; ++id)
-        member.sessions.adopt(id);
-    member.sessions.adopt(membership::max_leases + 1);
+        member.sessions.add_session(id);
+    member.sessions.add_session(membership::max_leases + 1);
     cr_assert_eq(member.closed.size(), 1U);
-    cr_assert_eq(member.sessions.sessions(), membership::max_leases);
+    cr_assert_eq(member.sessions.session_count(), membership::max_leases);
 }
 
 namespace {
@@ -161,9 +161,9 @@
 Test(scheduler_sessions, a_delta_goes_to_who_has_its_base_and_a_snapshot_to_the_others) {
     FakeMember member;
     member.sessions.publish_state({3, 1}, state_with(6, R"({"name":"a"})"));
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     member.sessions.publish_state({3, 2}, state_with(7, R"({"name":"a"},{"name":"b","coldRateS":5})"));
-    member.sessions.adopt(2);
+    member.sessions.add_session(2);
     cr_assert_eq(member.count(1, "state"), 1);
     cr_assert_eq(member.count(1, "state-change"), 1);
     cr_assert_eq(member.count(2, "state"), 1);
@@ -180,7 +180,7 @@
 Test(scheduler_sessions, a_scheduler_with_a_missing_base_is_sent_a_snapshot) {
     FakeMember member;
     member.sessions.publish_state({3, 1}, state_with(6, R"({"name":"a"})"));
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     member.sessions.publish_state({3, 2}, state_with(7, R"({"name":"b"})"));
     std::optional<StateUpdate> held;
     cr_assert_eq(apply_states({member.sent[1].back()}, held), 1);
@@ -199,7 +199,7 @@
     FakeMember member;
     auto state = state_with(6, R"({"name":"a"})");
     member.sessions.publish_state({3, 1}, state);
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     state.evacuated_zones = {"z"};
     member.sessions.publish_state({3, 2}, state);
     cr_assert(member.sent[1].back().at("patch").is_null());
@@ -216,7 +216,7 @@
 Test(scheduler_sessions, a_state_sent_twice_or_out_of_order_changes_nothing) {
     FakeMember member;
     member.sessions.publish_state({3, 1}, state_with(6, R"({"name":"a"})"));
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     for (std::uint64_t i = 2; i <= 5; ++i)
         member.sessions.publish_state({3, i}, state_with(5 + i, fmt::format(R"({{"name":"a{}"}})", i)));
     std::optional<StateUpdate> held;
@@ -231,7 +231,7 @@
 Test(scheduler_sessions, members_are_sent_as_one_snapshot_and_then_as_deltas) {
     using membership::Phase;
     FakeMember member;
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     member.sessions.publish_members(leases({"a", "b"}, Phase::starting));
     member.sessions.publish_members(leases({"a", "b"}, Phase::ready));
     member.sessions.flush();
@@ -239,7 +239,7 @@
     cr_assert_eq(member.sent[1].size(), 1U, "what changed in one moment goes out once");
     member.sessions.publish_members(leases({"b", "c"}, Phase::ready));
     member.sessions.flush();
-    member.sessions.adopt(2);
+    member.sessions.add_session(2);
     MemberView first, second;
     for (const json& message : member.sent[1])
         cr_assert(apply_members(first, message));
@@ -253,7 +253,7 @@
 Test(scheduler_sessions, a_missed_delta_of_members_leads_to_a_snapshot) {
     using membership::Phase;
     FakeMember member;
-    member.sessions.adopt(1);
+    member.sessions.add_session(1);
     MemberView held, begun_anew;
     for (const auto& nodes : {std::vector<std::string>{"a"}, {"b"}, {"b", "c"}}) {
         member.sessions.publish_members(leases(nodes, Phase::ready));
