--- a/src/system/configuration/configuration.h
+++ b/src/system/configuration/configuration.h
@@ -1,5 +1,6 @@
-// The operators' configuration: routes, services and limits. Read whole and checked whole; what cannot be
-// read or contradicts itself is refused with a sentence that names the place. Pure.
+// The configuration that operators set: routes, services and limits. A document is parsed and validated as a
+// whole; one that is unreadable or inconsistent is rejected with an error that names the offending element.
+// Free of I/O and of global state.
 #pragma once
 
 #include "system/errors/error.h"
@@ -16,7 +17,7 @@
 using Version = std::uint64_t;
 using Milliseconds = std::chrono::milliseconds;
 
-// What a second run of a request would do.
+// Whether a request can be executed a second time: always, never, or as a stream that may be resumed.
 enum class RouteClass { safe, non_idempotent, streaming };
 
 struct WeightedService {
@@ -33,16 +34,16 @@
     Milliseconds timeout{0};
     Milliseconds target{0};
     unsigned priority = 0;
-    std::vector<WeightedService> distribution; // weights add up to more than 0
+    std::vector<WeightedService> distribution; // the sum of the weights is above 0
     unsigned max_attempts = 1;
     bool affinity = false;
     bool resumable = false;
-    Milliseconds max_gap{0}; // between events of a stream that is in time; 0 where none is stated
-    std::vector<std::string> home_regions; // empty: anywhere
+    Milliseconds max_gap{0}; // longest time between two events of a stream that is on time; 0: not configured
+    std::vector<std::string> home_regions; // empty: no restriction
 
     bool operator==(const Route&) const = default;
 
-    // A second run harms nobody.
+    // Whether a request may be executed more than once without side effects for the client.
     bool repeatable() const {
         return route_class == RouteClass::safe || (route_class == RouteClass::streaming && resumable);
     }
@@ -53,7 +54,7 @@
     std::string health_path;
     std::size_t max_connections = 0;
     Milliseconds cold_start{0};
-    double cold_rate_per_s = 0; // 0: a cold worker bears as much as a warm one
+    double cold_rate_per_s = 0; // 0: a cold worker has the capacity of a warm one
     bool has_engine = false;
     std::size_t engine_capacity = 0;
     std::uint64_t cache_tokens = 0;
@@ -76,19 +77,22 @@
     const Service* find_service(std::string_view name) const;
 };
 
+// Parses and validates a configuration document.
 errors::Result<Configuration> parse(std::string_view text);
 
-// The configuration after a patch that `difference` (patch.h) made. Not checked as a whole again.
-errors::Result<Configuration> altered(const Configuration& base, std::string_view patch);
+// Applies a patch that `difference` (patch.h) has computed. The result is not validated again, because
+// `difference` only describes configurations that have been validated.
+errors::Result<Configuration> apply_difference(const Configuration& base, std::string_view patch);
 
-// A `Host` header's value as routes hold it.
-std::string normal_host(std::string_view host);
+// Converts the value of a `Host` header to the form that routes use: lower case, without the port.
+std::string normalize_host(std::string_view host);
 
-// Finds routes by host and longest path prefix. Points into the configuration, which must outlive it.
+// Looks routes up by host and longest path prefix. Holds pointers into the configuration, which must outlive
+// the table.
 class RouteTable {
   public:
     explicit RouteTable(const Configuration& configuration);
-    // The route of a request, or null. `path` without the query.
+    // Returns the route of a request, or null if none matches. `path` excludes the query.
     const Route* find(std::string_view host, std::string_view path) const;
 
   private:
--- a/src/system/configuration/control_state.cpp
+++ b/src/system/configuration/control_state.cpp
@@ -23,11 +23,11 @@
 using errors::Result;
 using Json = nlohmann::json;
 
-// Of a state whose cluster version is not the first.
+// Start of an encoded state whose cluster version is above the initial one.
 constexpr std::string_view cluster_version_prefix = R"({"cluster_version":)";
 constexpr const char* orders_key = "orders";
 
-// The version ends with a colon, so that no two orders give the same bytes.
+// The colon separates the version from the body, so that no two orders hash the same bytes.
 OrderDigest digest_of(const PutConfiguration& order) {
     return digest::sha256(fmt::format("{}:{}", order.based_on.value_or(0), order.body));
 }
@@ -39,36 +39,37 @@
 std::string to_hex(const OrderDigest& digest) { return fmt::format("{:02x}", fmt::join(digest, "")); }
 
 OrderDigest from_hex(const std::string& text) {
-    OrderDigest out{};
+    OrderDigest digest{};
     std::size_t length = 0;
     const char* end = nullptr;
-    if (sodium_hex2bin(out.data(), out.size(), text.data(), text.size(), nullptr, &length, &end) != 0 ||
-        length != out.size() || end != text.data() + text.size())
+    if (sodium_hex2bin(digest.data(), digest.size(), text.data(), text.size(), nullptr, &length, &end) != 0 ||
+        length != digest.size() || end != text.data() + text.size())
         throw std::invalid_argument("not a digest: " + text);
-    return out;
+    return digest;
 }
 
-// The order is based on another version than the current one, and is not among those remembered. It was
-// surely not taken if whatever was taken on top of that version is remembered still.
-Error conflict(const ControlState& state, Version based_on) {
+// The error for an order that is based on another version than the current one and is not among the kept
+// accepted orders. The order was certainly not accepted if the order that was accepted on top of its base
+// version is still kept; otherwise the outcome is unknown.
+Error version_conflict_error(const ControlState& state, Version based_on) {
     if (based_on < state.forgotten_through)
         return {ErrorKind::outcome_forgotten,
                 fmt::format("orders based on versions below {} are not remembered", state.forgotten_through)};
     return {ErrorKind::version_conflict, fmt::format("version {} is current", state.version)};
 }
 
-void remember(ControlState& state, const AcceptedOrder& order) {
+void record_accepted_order(ControlState& state, const AcceptedOrder& order) {
     state.accepted_orders.push_back(order);
     if (state.accepted_orders.size() <= max_accepted_orders) return;
     state.forgotten_through = state.accepted_orders.front().version;
     state.accepted_orders.pop_front();
 }
 
-std::optional<Error> too_large(const ControlState& state) {
+std::optional<Error> check_state_size(const ControlState& state) {
     const std::string encoded = encode(state);
-    const auto error = [](std::size_t size, std::size_t most) {
+    const auto error = [](std::size_t size, std::size_t limit) {
         return Error{ErrorKind::state_too_large,
-                     fmt::format("the state would take {} of {} bytes", size, most)};
+                     fmt::format("the state would take {} of {} bytes", size, limit)};
     };
     if (encoded.size() > max_state_bytes) return error(encoded.size(), max_state_bytes);
     if (encoded.size() <= max_record_bytes) return std::nullopt;
@@ -77,8 +78,9 @@
     return std::nullopt;
 }
 
-// Puts a whole configuration in the place of the current one.
-Result<Applied> replace(const ControlState& state, const OrderDigest& digest, std::string text) {
+// Replaces the current configuration by a complete new one and records the order.
+Result<ApplyOutcome> replace_configuration(const ControlState& state, const OrderDigest& digest,
+                                           std::string text) {
     const auto parsed = parse(text);
     if (!parsed) return parsed.error();
     if (parsed.value().version <= state.version)
@@ -87,56 +89,59 @@
     ControlState next = state;
     next.version = parsed.value().version;
     next.configuration = std::move(text);
-    remember(next, {digest, next.version});
-    if (const auto error = too_large(next)) return *error;
-    return Applied{std::move(next)};
+    record_accepted_order(next, {digest, next.version});
+    if (const auto error = check_state_size(next)) return *error;
+    return ApplyOutcome{std::move(next)};
 }
 
-// The order is acknowledged again where it was taken before, refused where it is based on another version
-// than the current one, and else takes effect: `make_text` says what the configuration becomes.
-Result<Applied> take(const ControlState& state, const std::optional<Version>& based_on,
-                     const OrderDigest& digest, const std::function<Result<std::string>()>& make_text) {
+// Acknowledges an order that was accepted before, refuses one that is based on another version than the
+// current one, and applies any other. `make_text` computes the new configuration document.
+Result<ApplyOutcome> apply_configuration_order(const ControlState& state,
+                                               const std::optional<Version>& based_on,
+                                               const OrderDigest& digest,
+                                               const std::function<Result<std::string>()>& make_text) {
     if (std::ranges::count(state.accepted_orders, digest, &AcceptedOrder::digest) > 0)
-        return Applied{Unchanged{}};
+        return ApplyOutcome{Unchanged{}};
     if (!based_on) return Error{ErrorKind::invalid_configuration, "If-Match must name a version"};
-    if (*based_on != state.version) return conflict(state, *based_on);
+    if (*based_on != state.version) return version_conflict_error(state, *based_on);
     auto text = make_text();
     if (!text) return text.error();
-    return replace(state, digest, std::move(text.value()));
+    return replace_configuration(state, digest, std::move(text.value()));
 }
 
-Result<Applied> put(const ControlState& state, const PutConfiguration& order) {
-    return take(state, order.based_on, digest_of(order), [&] { return Result<std::string>(order.body); });
+Result<ApplyOutcome> put_configuration(const ControlState& state, const PutConfiguration& order) {
+    return apply_configuration_order(state, order.based_on, digest_of(order),
+                                     [&] { return Result<std::string>(order.body); });
 }
 
-Result<Applied> patch(const ControlState& state, const PatchConfiguration& order) {
-    return take(state, order.based_on, digest_of(order), [&]() -> Result<std::string> {
-        if (state.version == 0) return invalid("there is no configuration to alter yet");
+Result<ApplyOutcome> patch_configuration(const ControlState& state, const PatchConfiguration& order) {
+    return apply_configuration_order(state, order.based_on, digest_of(order), [&]() -> Result<std::string> {
+        if (state.version == 0) return invalid_configuration_error("there is no configuration to alter yet");
         return apply_patch(state.configuration, order.body);
     });
 }
 
-Result<Applied> set_evacuated(const ControlState& state, const std::string& zone, bool evacuated) {
-    if (state.evacuated_zones.contains(zone) == evacuated) return Applied{Unchanged{}};
+Result<ApplyOutcome> set_evacuated(const ControlState& state, const std::string& zone, bool evacuated) {
+    if (state.evacuated_zones.contains(zone) == evacuated) return ApplyOutcome{Unchanged{}};
     ControlState next = state;
     if (evacuated)
         next.evacuated_zones.insert(zone);
     else
         next.evacuated_zones.erase(zone);
-    return Applied{std::move(next)};
+    return ApplyOutcome{std::move(next)};
 }
 
-Result<Applied> finish_upgrade(const ControlState& state, const FinishUpgrade& order) {
-    if (order.version <= state.cluster_version) return Applied{Unchanged{}};
+Result<ApplyOutcome> finish_upgrade(const ControlState& state, const FinishUpgrade& order) {
+    if (order.version <= state.cluster_version) return ApplyOutcome{Unchanged{}};
     if (order.version > protocol::supported_versions.max)
         return Error{ErrorKind::upgrade_blocked,
                      fmt::format("the primary speaks no version above {}", protocol::supported_versions.max)};
     ControlState next = state;
     next.cluster_version = order.version;
-    return Applied{std::move(next)};
+    return ApplyOutcome{std::move(next)};
 }
 
-// All but the cluster version and the configuration.
+// Encodes everything but the cluster version and the configuration.
 Json encode_orders(const ControlState& state) {
     Json taken = Json::array();
     for (const AcceptedOrder& order : state.accepted_orders)
@@ -147,28 +152,35 @@
                 {"forgotten_through", state.forgotten_through}};
 }
 
-void decode_orders(const Json& json, ControlState& out) {
-    json.at("version").get_to(out.version);
-    json.at("evacuated").get_to(out.evacuated_zones);
+void decode_orders(const Json& json, ControlState& state) {
+    json.at("version").get_to(state.version);
+    json.at("evacuated").get_to(state.evacuated_zones);
     for (const Json& order : json.at("taken"))
-        out.accepted_orders.push_back({from_hex(order.at(0).get<std::string>()), order.at(1).get<Version>()});
-    json.at("forgotten_through").get_to(out.forgotten_through);
+        state.accepted_orders.push_back(
+            {from_hex(order.at(0).get<std::string>()), order.at(1).get<Version>()});
+    json.at("forgotten_through").get_to(state.forgotten_through);
 }
 
 struct Applier {
     const ControlState& state;
-    Result<Applied> operator()(const PutConfiguration& order) const { return put(state, order); }
-    Result<Applied> operator()(const PatchConfiguration& order) const { return patch(state, order); }
-    Result<Applied> operator()(const Evacuate& order) const { return set_evacuated(state, order.zone, true); }
-    Result<Applied> operator()(const EndEvacuation& order) const {
+    Result<ApplyOutcome> operator()(const PutConfiguration& order) const {
+        return put_configuration(state, order);
+    }
+    Result<ApplyOutcome> operator()(const PatchConfiguration& order) const {
+        return patch_configuration(state, order);
+    }
+    Result<ApplyOutcome> operator()(const Evacuate& order) const {
+        return set_evacuated(state, order.zone, true);
+    }
+    Result<ApplyOutcome> operator()(const EndEvacuation& order) const {
         return set_evacuated(state, order.zone, false);
     }
-    Result<Applied> operator()(const FinishUpgrade& order) const { return finish_upgrade(state, order); }
+    Result<ApplyOutcome> operator()(const FinishUpgrade& order) const { return finish_upgrade(state, order); }
 };
 
 } // namespace
 
-Result<Applied> apply(const ControlState& state, const Order& order) {
+Result<ApplyOutcome> apply(const ControlState& state, const Order& order) {
     return std::visit(Applier{state}, order);
 }
 
@@ -183,33 +195,33 @@
 protocol::Version cluster_version_of(std::string_view encoded) {
     if (!encoded.starts_with(cluster_version_prefix)) return protocol::initial_cluster_version;
     encoded.remove_prefix(cluster_version_prefix.size());
-    protocol::Version out = protocol::initial_cluster_version;
-    std::from_chars(encoded.data(), encoded.data() + encoded.size(), out);
-    return out;
+    protocol::Version version = protocol::initial_cluster_version;
+    std::from_chars(encoded.data(), encoded.data() + encoded.size(), version);
+    return version;
 }
 
 Result<ControlState> decode(const std::string& text) {
-    ControlState out;
-    if (text.empty()) return out;
-    out.cluster_version = cluster_version_of(text);
-    if (out.cluster_version > protocol::supported_versions.max)
+    ControlState state;
+    if (text.empty()) return state;
+    state.cluster_version = cluster_version_of(text);
+    if (state.cluster_version > protocol::supported_versions.max)
         return Error{ErrorKind::unsupported_version,
                      fmt::format("the state is one of cluster version {}, this program speaks up to {}",
-                                 out.cluster_version, protocol::supported_versions.max)};
+                                 state.cluster_version, protocol::supported_versions.max)};
     try {
-        const std::size_t line = text.find('\n');
-        const Json json = Json::parse(text.substr(0, line));
-        // Earlier versions of this program kept the configuration among the rest.
-        if (line == std::string::npos)
-            json.at("configuration").get_to(out.configuration);
+        const std::size_t line_end = text.find('\n');
+        const Json json = Json::parse(text.substr(0, line_end));
+        // Earlier versions of this program stored the configuration as a member of the JSON object.
+        if (line_end == std::string::npos)
+            json.at("configuration").get_to(state.configuration);
         else
-            out.configuration = text.substr(line + 1);
-        const bool has_cluster_version = out.cluster_version != protocol::initial_cluster_version;
-        decode_orders(has_cluster_version ? json.at(orders_key) : json, out);
+            state.configuration = text.substr(line_end + 1);
+        const bool has_cluster_version = state.cluster_version != protocol::initial_cluster_version;
+        decode_orders(has_cluster_version ? json.at(orders_key) : json, state);
     } catch (const std::exception& error) {
         return Error{ErrorKind::storage_failed, error.what()};
     }
-    return out;
+    return state;
 }
 
 } // namespace willowrill::configuration
--- a/src/system/configuration/control_state.h
+++ b/src/system/configuration/control_state.h
@@ -1,5 +1,6 @@
-// What the core holds in common: the operators' configuration, the zones evacuated, and which orders were
-// taken, so that one sent again is acknowledged again. Orders are applied to it one after the other. Pure.
+// The state that the core members replicate: the operators' configuration, the evacuated zones, and the
+// configuration orders that were accepted, so that a retransmitted order is acknowledged again. Orders are
+// applied one after the other. Free of I/O and of global state.
 #pragma once
 
 #include "system/configuration/configuration.h"
@@ -22,7 +23,7 @@
 // SHA-256 of a configuration order: its kind, the version it is based on, and its body.
 using OrderDigest = digest::Sha256;
 
-// A configuration order that was taken.
+// A configuration order that was accepted, with the configuration version that it produced.
 struct AcceptedOrder {
     OrderDigest digest{};
     Version version = 0;
@@ -30,39 +31,41 @@
 };
 
 struct ControlState {
-    Version version = 0;       // 0: there is no configuration yet
-    std::string configuration; // whole: as the operator sent it, or with its changes applied
+    Version version = 0;       // 0: no configuration has been set
+    std::string configuration; // complete document: as the operator sent it, or with patches applied
     std::set<std::string> evacuated_zones;
-    std::deque<AcceptedOrder> accepted_orders; // at most `max_accepted_orders`, the oldest first
-    Version forgotten_through = 0;             // orders up to this version are not among `taken` any more
-    // Of the protocol: lower ones are spoken no more.
+    std::deque<AcceptedOrder> accepted_orders; // at most `max_accepted_orders`, oldest first
+    Version forgotten_through = 0;             // accepted orders up to this version have been dropped
+    // Lowest protocol version that processes of the cluster may still use.
     protocol::Version cluster_version = protocol::initial_cluster_version;
 };
 
-// Orders remembered. An operator has at most eight orders under way and sends one again within seconds, so
-// hundreds would have to be taken in between before one of them is forgotten.
+// Number of accepted orders that are kept. An operator has at most eight orders in flight and retransmits one
+// within seconds, so hundreds of orders would have to be accepted in between before one of them is dropped.
 inline constexpr std::size_t max_accepted_orders = 1024;
 
-// What members can keep: the longest encoded state, and the room of its packed record on their disks. An
-// order that needs more of either is refused. Two of the longest bodies that operators may send fit.
+// Limits of what members can store: the size of the encoded state, and the size of its compressed record on
+// disk. An order whose result exceeds either limit is refused. Two request bodies of the maximum size fit.
 inline constexpr std::size_t max_state_bytes = 8U << 20U;
 inline constexpr std::size_t max_record_bytes = 1U << 20U;
 
-// A line with all but the configuration, then the configuration as it is. Up to cluster version 3 the line is
-// one that programs of that version read; from then on it begins with the cluster version, and those programs
-// can read nothing of it, so that none of them can write a state that lacks it.
+// Encodes the state as one line of JSON that holds everything but the configuration, followed by the
+// configuration verbatim. Up to cluster version 3, programs of that version can read the line. Later lines
+// begin with the cluster version and are unreadable for those programs, so that none of them can write back a
+// state without a cluster version.
 std::string encode(const ControlState& state);
-// "" is the state before the first order. An error of the kind `unsupported_version` where the state is one
-// of a later cluster version than this program speaks, `storage_failed` where it cannot be read.
+// Decodes a state; "" is the state before the first order. Fails with `unsupported_version` if the cluster
+// version of the state is above those that this program supports, and with `storage_failed` if the text is
+// malformed.
 errors::Result<ControlState> decode(const std::string& text);
-// The cluster version of an encoded state, from its beginning alone.
+// Returns the cluster version of an encoded state. Reads only the beginning of the text.
 protocol::Version cluster_version_of(std::string_view encoded);
 
 struct PutConfiguration {
     std::optional<Version> based_on; // If-Match
     std::string body;
 };
-// Alters named items of the current configuration (patch.h).
+// Changes named items of the current configuration (patch.h).
 struct PatchConfiguration {
     std::optional<Version> based_on; // If-Match
     std::string body;
@@ -73,18 +76,20 @@
 struct EndEvacuation {
     std::string zone;
 };
-// Raises the cluster version. Whether every process speaks it is for the caller to find out.
+// Raises the cluster version. The caller has to ensure that every process supports it.
 struct FinishUpgrade {
     protocol::Version version = protocol::initial_cluster_version;
 };
 using Order = std::variant<PutConfiguration, PatchConfiguration, Evacuate, EndEvacuation, FinishUpgrade>;
 
-// The order changes nothing: what it asks for is so already.
+// The order has no effect, because the state already is as requested.
 struct Unchanged {};
-using Applied = std::variant<Unchanged, ControlState>;
+using ApplyOutcome = std::variant<Unchanged, ControlState>;
 
-// What the state becomes, or why it stays: `version_conflict` and `invalid_configuration` for an order that
-// was surely not taken, `outcome_forgotten` for one that may have been, `state_too_large`.
-errors::Result<Applied> apply(const ControlState& state, const Order& order);
+// Returns the state after the order, or the reason for which it does not change: `version_conflict` or
+// `invalid_configuration` if the order has certainly not been accepted before, `outcome_forgotten` if it may
+// have been, `state_too_large` if members could not store the result, and `upgrade_blocked` if this program
+// does not support the requested cluster version.
+errors::Result<ApplyOutcome> apply(const ControlState& state, const Order& order);
 
 } // namespace willowrill::configuration
--- a/src/system/configuration/json_text.cpp
+++ b/src/system/configuration/json_text.cpp
@@ -16,51 +16,54 @@
 using errors::ErrorKind;
 using rapidjson::Value;
 
-// How deep the brackets outside of strings go. Right for every JSON text; of others it does not matter.
-std::size_t nesting_of(std::string_view text) {
-    std::size_t depth = 0, deepest = 0;
+// Returns the nesting depth of the brackets outside of strings. Exact for valid JSON; invalid JSON is
+// rejected by the parser anyway.
+std::size_t nesting_depth_of(std::string_view text) {
+    std::size_t depth = 0, max_depth = 0;
     bool in_string = false;
-    for (std::size_t at = 0; at < text.size(); ++at) {
-        const char c = text[at];
-        if (in_string && c == '\\')
-            ++at;
-        else if (c == '"')
+    for (std::size_t index = 0; index < text.size(); ++index) {
+        const char character = text[index];
+        if (in_string && character == '\\')
+            ++index;
+        else if (character == '"')
             in_string = !in_string;
-        else if (!in_string && (c == '[' || c == '{'))
-            deepest = std::max(deepest, ++depth);
-        else if (!in_string && (c == ']' || c == '}') && depth > 0)
+        else if (!in_string && (character == '[' || character == '{'))
+            max_depth = std::max(max_depth, ++depth);
+        else if (!in_string && (character == ']' || character == '}') && depth > 0)
             --depth;
     }
-    return deepest;
+    return max_depth;
 }
 
-std::optional<std::string> duplicate_key(const Value& value) {
+std::optional<std::string> find_duplicate_key(const Value& value) {
     if (value.IsArray()) {
         for (const Value& item : value.GetArray())
-            if (auto found = duplicate_key(item)) return found;
+            if (auto found = find_duplicate_key(item)) return found;
     }
     if (!value.IsObject()) return std::nullopt;
     std::set<std::string_view> seen;
     for (const auto& member : value.GetObject()) {
-        if (!seen.insert(view_of(member.name)).second) return text_of(member.name);
-        if (auto found = duplicate_key(member.value)) return found;
+        if (!seen.insert(string_view_of(member.name)).second) return string_of(member.name);
+        if (auto found = find_duplicate_key(member.value)) return found;
     }
     return std::nullopt;
 }
 
 } // namespace
 
-Error invalid(std::string detail) { return {ErrorKind::invalid_configuration, std::move(detail)}; }
+Error invalid_configuration_error(std::string detail) {
+    return {ErrorKind::invalid_configuration, std::move(detail)};
+}
 
-std::string text_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
+std::string string_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-std::string_view view_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
+std::string_view string_view_of(const Value& value) { return {value.GetString(), value.GetStringLength()}; }
 
-std::string json_of(const Value& value) {
-    rapidjson::StringBuffer out;
-    rapidjson::Writer<rapidjson::StringBuffer> writer(out);
+std::string serialize(const Value& value) {
+    rapidjson::StringBuffer buffer;
+    rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
     value.Accept(writer);
-    return {out.GetString(), out.GetSize()};
+    return {buffer.GetString(), buffer.GetSize()};
 }
 
 rapidjson::SchemaDocument compile_schema(const char* text) {
@@ -71,22 +74,23 @@
 
 std::optional<Error> read_json(std::string_view text, const rapidjson::SchemaDocument& schema,
                                rapidjson::Document& document) {
-    if (nesting_of(text) > deepest_nesting)
-        return invalid(fmt::format("nested more than {} deep", deepest_nesting));
+    if (nesting_depth_of(text) > max_nesting_depth)
+        return invalid_configuration_error(fmt::format("nested more than {} deep", max_nesting_depth));
     document.Parse<rapidjson::kParseFullPrecisionFlag | rapidjson::kParseIterativeFlag>(text.data(),
                                                                                         text.size());
     if (document.HasParseError())
-        return invalid(fmt::format("not JSON at byte {}: {}", document.GetErrorOffset(),
-                                   rapidjson::GetParseError_En(document.GetParseError())));
+        return invalid_configuration_error(
+            fmt::format("not JSON at byte {}: {}", document.GetErrorOffset(),
+                        rapidjson::GetParseError_En(document.GetParseError())));
     rapidjson::SchemaValidator validator(schema);
     if (!document.Accept(validator)) {
-        rapidjson::StringBuffer place;
-        validator.GetInvalidDocumentPointer().StringifyUriFragment(place);
-        return invalid(
-            fmt::format("{} breaks \"{}\"", place.GetString(), validator.GetInvalidSchemaKeyword()));
+        rapidjson::StringBuffer pointer;
+        validator.GetInvalidDocumentPointer().StringifyUriFragment(pointer);
+        return invalid_configuration_error(
+            fmt::format("{} breaks \"{}\"", pointer.GetString(), validator.GetInvalidSchemaKeyword()));
     }
-    if (const auto key = duplicate_key(document))
-        return invalid(fmt::format("key \"{}\" stands twice", *key));
+    if (const auto key = find_duplicate_key(document))
+        return invalid_configuration_error(fmt::format("key \"{}\" stands twice", *key));
     return std::nullopt;
 }
 
--- a/src/system/configuration/json_text.h
+++ b/src/system/configuration/json_text.h
@@ -1,5 +1,5 @@
-// Reading JSON texts that operators send: bounded in depth, checked against a schema, each key once, and
-// errors that name the place. Pure.
+// Parses JSON that operators send: limits the nesting depth, validates against a schema, rejects duplicate
+// keys, and names the offending element in errors. Free of I/O and of global state.
 #pragma once
 
 #include "system/errors/error.h"
@@ -13,23 +13,25 @@
 
 namespace willowrill::configuration {
 
-// Objects and arrays inside each other; deeper texts are refused, as they are walked by recursion.
-inline constexpr std::size_t deepest_nesting = 64;
+// Maximum depth of nested objects and arrays. Deeper documents are rejected, because they are traversed
+// recursively.
+inline constexpr std::size_t max_nesting_depth = 64;
 
-// An error of the kind `invalid_configuration`.
-errors::Error invalid(std::string detail);
+// Returns an error of the kind `invalid_configuration`.
+errors::Error invalid_configuration_error(std::string detail);
 
-std::string text_of(const rapidjson::Value& value);
-std::string_view view_of(const rapidjson::Value& value);
+// The value must be a string. The view is valid as long as the value.
+std::string string_of(const rapidjson::Value& value);
+std::string_view string_view_of(const rapidjson::Value& value);
 
-// The compact text of a value.
-std::string json_of(const rapidjson::Value& value);
+// Returns the value as compact JSON text.
+std::string serialize(const rapidjson::Value& value);
 
-// A schema of this program's own, which is known to be sound.
+// Compiles a schema that is part of this program and is assumed to be valid.
 rapidjson::SchemaDocument compile_schema(const char* text);
 
-// Parses the text into `document` and checks it. An error of the kind `invalid_configuration` where it is no
-// JSON, is nested too deep, breaks the schema, or has a key twice in one object.
+// Parses the text into `document` and validates it. Returns an error of the kind `invalid_configuration` if
+// the text is not JSON, is nested too deeply, violates the schema, or has a duplicate key in an object.
 std::optional<errors::Error> read_json(std::string_view text, const rapidjson::SchemaDocument& schema,
                                        rapidjson::Document& document);
 
--- a/src/system/configuration/patch.cpp
+++ b/src/system/configuration/patch.cpp
@@ -35,21 +35,22 @@
     return compiled;
 }
 
-// What a patch does to one list.
+// The changes that a patch makes to one list.
 struct ListChange {
     std::map<std::string_view, const Value*> upserts; // by name
     std::vector<const Value*> upsert_order;
     std::set<std::string_view> removals;
 };
-using ListChanges = std::map<std::string_view, ListChange>; // by the list's key
+using ListChanges = std::map<std::string_view, ListChange>; // by key of the list
 
 std::optional<Error> read_upserts(const Value& lists, ListChanges& changes) {
     for (const auto& [key, items] : lists.GetObject()) {
-        ListChange& change = changes[view_of(key)];
+        ListChange& change = changes[string_view_of(key)];
         for (const Value& item : items.GetArray()) {
-            const std::string_view name = view_of(item[name_key]);
+            const std::string_view name = string_view_of(item[name_key]);
             if (!change.upserts.emplace(name, &item).second)
-                return invalid(fmt::format("upsert/{}: \"{}\" stands twice", view_of(key), name));
+                return invalid_configuration_error(
+                    fmt::format("upsert/{}: \"{}\" stands twice", string_view_of(key), name));
             change.upsert_order.push_back(&item);
         }
     }
@@ -58,13 +59,14 @@
 
 std::optional<Error> read_removals(const Value& lists, ListChanges& changes) {
     for (const auto& [key, names] : lists.GetObject()) {
-        ListChange& change = changes[view_of(key)];
+        ListChange& change = changes[string_view_of(key)];
         for (const Value& name : names.GetArray()) {
-            if (!change.removals.insert(view_of(name)).second)
-                return invalid(fmt::format("remove/{}: \"{}\" stands twice", view_of(key), view_of(name)));
-            if (change.upserts.contains(view_of(name)))
-                return invalid(
-                    fmt::format("{}: \"{}\" is both upserted and removed", view_of(key), view_of(name)));
+            if (!change.removals.insert(string_view_of(name)).second)
+                return invalid_configuration_error(
+                    fmt::format("remove/{}: \"{}\" stands twice", string_view_of(key), string_view_of(name)));
+            if (change.upserts.contains(string_view_of(name)))
+                return invalid_configuration_error(fmt::format("{}: \"{}\" is both upserted and removed",
+                                                               string_view_of(key), string_view_of(name)));
         }
     }
     return std::nullopt;
@@ -73,45 +75,48 @@
 std::string_view name_of(const Value& item) {
     if (!item.IsObject()) return {};
     const auto name = item.FindMember(name_key);
-    return name == item.MemberEnd() || !name->value.IsString() ? std::string_view() : view_of(name->value);
+    return name == item.MemberEnd() || !name->value.IsString() ? std::string_view()
+                                                               : string_view_of(name->value);
 }
 
-// Makes the list what the change asks for: replaced items keep their places, new ones come last.
-std::optional<Error> change_list(std::string_view key, Value& list, const ListChange& change,
-                                 Document::AllocatorType& allocator) {
-    std::set<std::string_view> met;
-    Value out(rapidjson::kArrayType);
+// Applies the change to the list. Replaced items keep their position, new items are appended.
+std::optional<Error> apply_list_change(std::string_view key, Value& list, const ListChange& change,
+                                       Document::AllocatorType& allocator) {
+    std::set<std::string_view> found_names;
+    Value patched_items(rapidjson::kArrayType);
     for (Value& item : list.GetArray()) {
         const std::string_view name = name_of(item);
         const auto upsert = change.upserts.find(name);
-        const bool altered =
+        const bool is_changed =
             !name.empty() && (upsert != change.upserts.end() || change.removals.contains(name));
-        if (altered && !met.insert(name).second)
-            return invalid(fmt::format("{}: the current configuration has \"{}\" twice", key, name));
-        if (!altered)
-            out.PushBack(item, allocator); // moves it
+        if (is_changed && !found_names.insert(name).second)
+            return invalid_configuration_error(
+                fmt::format("{}: the current configuration has \"{}\" twice", key, name));
+        if (!is_changed)
+            patched_items.PushBack(item, allocator); // moves the item
         else if (upsert != change.upserts.end())
-            out.PushBack(Value(*upsert->second, allocator), allocator);
+            patched_items.PushBack(Value(*upsert->second, allocator), allocator);
     }
     for (const Value* item : change.upsert_order)
-        if (!met.contains(name_of(*item))) out.PushBack(Value(*item, allocator), allocator);
-    list = out;
+        if (!found_names.contains(name_of(*item))) patched_items.PushBack(Value(*item, allocator), allocator);
+    list = patched_items;
     return std::nullopt;
 }
 
-// The items of a list by name. Nothing where a name is missing or stands twice.
-std::optional<std::map<std::string_view, const Value*>> by_name(const Value& list) {
-    std::map<std::string_view, const Value*> out;
+// Indexes the items of a list by name. Returns nothing if a name is missing or occurs twice.
+std::optional<std::map<std::string_view, const Value*>> index_by_name(const Value& list) {
+    std::map<std::string_view, const Value*> items_by_name;
     for (const Value& item : list.GetArray()) {
         const std::string_view name = name_of(item);
-        if (name.empty() || !out.emplace(name, &item).second) return std::nullopt;
+        if (name.empty() || !items_by_name.emplace(name, &item).second) return std::nullopt;
     }
-    return out;
+    return items_by_name;
 }
 
-// Adds to the patch what makes the one list of the other. False where that cannot be said.
+// Adds the changes that turn list `before` into `after` to the patch. Returns false if a patch cannot express
+// them.
 bool add_difference(const char* key, const Value& before, const Value& after, Document& patch) {
-    const auto old_items = by_name(before), new_items = by_name(after);
+    const auto old_items = index_by_name(before), new_items = index_by_name(after);
     if (!old_items || !new_items) return false;
     auto& allocator = patch.GetAllocator();
     Value upserts(rapidjson::kArrayType), removals(rapidjson::kArrayType);
@@ -128,15 +133,15 @@
     return true;
 }
 
-// Whether all members but those that a patch can alter are the same.
-bool rest_is_same(const Document& before, const Document& after) {
-    const auto is_altered = [](const Value& key) {
-        return view_of(key) == version_key || std::ranges::count(list_keys, view_of(key)) > 0;
+// Whether all members other than those that a patch can change are equal.
+bool unpatchable_members_equal(const Document& before, const Document& after) {
+    const auto is_patchable = [](const Value& key) {
+        return string_view_of(key) == version_key || std::ranges::count(list_keys, string_view_of(key)) > 0;
     };
     for (const auto& [key, value] : before.GetObject()) {
-        if (is_altered(key)) continue;
-        const auto other = after.FindMember(key);
-        if (other == after.MemberEnd() || other->value != value) return false;
+        if (is_patchable(key)) continue;
+        const auto after_member = after.FindMember(key);
+        if (after_member == after.MemberEnd() || after_member->value != value) return false;
     }
     return before.MemberCount() == after.MemberCount();
 }
@@ -147,7 +152,7 @@
     Document old_document, new_document, patch(rapidjson::kObjectType);
     if (read_json(before, any_object_schema(), old_document)) return std::nullopt;
     if (read_json(after, any_object_schema(), new_document)) return std::nullopt;
-    if (!rest_is_same(old_document, new_document)) return std::nullopt;
+    if (!unpatchable_members_equal(old_document, new_document)) return std::nullopt;
     auto& allocator = patch.GetAllocator();
     patch.AddMember(rapidjson::StringRef(version_key), Value(new_document[version_key], allocator),
                     allocator);
@@ -155,30 +160,31 @@
     patch.AddMember("remove", Value(rapidjson::kObjectType), allocator);
     for (const char* key : list_keys)
         if (!add_difference(key, old_document[key], new_document[key], patch)) return std::nullopt;
-    return json_of(patch);
+    return serialize(patch);
 }
 
 Result<std::string> apply_patch(std::string_view base, std::string_view patch) {
-    Document whole, changes_text;
-    if (const auto error = read_json(base, any_object_schema(), whole)) return *error;
-    if (const auto error = read_json(patch, patch_schema(), changes_text)) return *error;
+    Document document, patch_document;
+    if (const auto error = read_json(base, any_object_schema(), document)) return *error;
+    if (const auto error = read_json(patch, patch_schema(), patch_document)) return *error;
 
     ListChanges changes;
-    if (changes_text.HasMember("upsert"))
-        if (const auto error = read_upserts(changes_text["upsert"], changes)) return *error;
-    if (changes_text.HasMember("remove"))
-        if (const auto error = read_removals(changes_text["remove"], changes)) return *error;
+    if (patch_document.HasMember("upsert"))
+        if (const auto error = read_upserts(patch_document["upsert"], changes)) return *error;
+    if (patch_document.HasMember("remove"))
+        if (const auto error = read_removals(patch_document["remove"], changes)) return *error;
     for (const auto& [key, change] : changes) {
         const auto list =
-            whole.FindMember(Value(rapidjson::StringRef(key.data(), static_cast<unsigned>(key.size()))));
-        if (list == whole.MemberEnd() || !list->value.IsArray())
-            return invalid(fmt::format("\"{}\" is no list of the configuration", key));
-        if (const auto error = change_list(key, list->value, change, whole.GetAllocator())) return *error;
+            document.FindMember(Value(rapidjson::StringRef(key.data(), static_cast<unsigned>(key.size()))));
+        if (list == document.MemberEnd() || !list->value.IsArray())
+            return invalid_configuration_error(fmt::format("\"{}\" is no list of the configuration", key));
+        if (const auto error = apply_list_change(key, list->value, change, document.GetAllocator()))
+            return *error;
     }
-    whole.RemoveMember(version_key);
-    Value version(changes_text[version_key], whole.GetAllocator());
-    whole.AddMember(rapidjson::StringRef(version_key), version, whole.GetAllocator());
-    return json_of(whole);
+    document.RemoveMember(version_key);
+    Value version(patch_document[version_key], document.GetAllocator());
+    document.AddMember(rapidjson::StringRef(version_key), version, document.GetAllocator());
+    return serialize(document);
 }
 
 } // namespace willowrill::configuration
--- a/src/system/configuration/schema.h
+++ b/src/system/configuration/schema.h
@@ -1,5 +1,5 @@
-// The JSON schemas of the operators' configuration and of changes to it. What a schema cannot say is checked
-// in configuration.cpp and patch.cpp.
+// JSON schemas of the operators' configuration and of patches to it. Rules that a schema cannot express are
+// checked in configuration.cpp and patch.cpp.
 #pragma once
 
 namespace willowrill::configuration {
@@ -57,8 +57,8 @@
   }
 })json";
 
-// Of a patch: lists of items to add or replace, and lists of names to remove, by the key of their list. The
-// items themselves are checked in the configuration that comes of it.
+// Schema of an operator's patch: for each list, by its key, the items to add or replace and the names to
+// remove. The items themselves are validated as part of the resulting configuration.
 inline constexpr const char* patch_schema_text = R"json({
   "type": "object",
   "required": ["configVersion"],
@@ -76,7 +76,8 @@
   }
 })json";
 
-// Of a patch between processes of the system: both parts are there, and the lists are the known ones.
+// Schema of a patch that processes of the system exchange: `upsert` and `remove` are both present and hold
+// known lists only.
 inline constexpr const char* difference_schema_text = R"json({
   "type": "object",
   "required": ["configVersion", "upsert", "remove"],
--- a/src/system/distribution/state_update.cpp
+++ b/src/system/distribution/state_update.cpp
@@ -14,7 +14,7 @@
 
 Result<Configuration> patched(const Configuration& base, const std::optional<std::string>& patch) {
     if (!patch) return base;
-    return configuration::altered(base, *patch);
+    return configuration::apply_difference(base, *patch);
 }
 
 } // namespace
--- a/tests/system/configuration/configuration_test.cpp
+++ b/tests/system/configuration/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Configurations: what is refused and why, which route a request takes, and orders against a plain model.
+// Parsing and validation of configurations, route lookup, and orders compared with a reference model.
 #include "system/configuration/control_state.h"
 
 #include "support/expect.h"
@@ -15,9 +15,10 @@
 
 namespace {
 
-std::string route(const std::string& prefix, const std::string& rest = R"("timeoutMs":100,"service":"s")") {
+std::string route(const std::string& prefix,
+                  const std::string& other_members = R"("timeoutMs":100,"service":"s")") {
     return fmt::format(R"({{"name":"r","host":"h.example","pathPrefix":"{}","routeClass":"safe",{}}})",
-                       prefix, rest);
+                       prefix, other_members);
 }
 
 std::string document(const std::string& routes, int version = 2,
@@ -25,17 +26,17 @@
     return fmt::format(R"({{"configVersion":{},"routes":[{}],"services":[{}]}})", version, routes, services);
 }
 
-void refused(const std::string& text, const std::string& part) {
+void expect_rejected(const std::string& text, const std::string& expected_detail) {
     const auto parsed = parse(text);
-    cr_assert_not(static_cast<bool>(parsed), "taken: %s", text.c_str());
+    cr_assert_not(static_cast<bool>(parsed), "accepted: %s", text.c_str());
     cr_assert(parsed.error().kind == ErrorKind::invalid_configuration);
-    cr_assert_neq(parsed.error().detail.find(part), std::string::npos, "\"%s\" lacks \"%s\"",
-                  parsed.error().detail.c_str(), part.c_str());
+    cr_assert_neq(parsed.error().detail.find(expected_detail), std::string::npos, "\"%s\" lacks \"%s\"",
+                  parsed.error().detail.c_str(), expected_detail.c_str());
 }
 
 } // namespace
 
-Test(configuration, a_good_one_is_read_whole) {
+Test(configuration, a_valid_configuration_is_parsed_completely) {
     const std::string text =
         R"({"configVersion":7,"routes":[{"name":"r","host":"H.example:80","pathPrefix":"/a/",
         "routeClass":"streaming","timeoutMs":15000,"targetMs":1000,"priority":1,"distribution":[
@@ -59,28 +60,28 @@
     cr_assert_eq(read.limits.max_header_bytes, 1000U);
 }
 
-Test(configuration, what_is_wrong_is_named) {
-    refused("", "not JSON");
-    refused(document(route("/a/")).substr(0, 60), "not JSON");
-    refused("[]", "type");
-    refused(R"({"configVersion":2,"routes":[]})", "required");
-    refused(document(route("/a/"), 0), "minimum");
-    refused(document(route("/a/", R"("timeoutMs":0,"service":"s")")), "minimum");
-    refused(document(route("/a/", R"("timeoutMs":0.5,"service":"s")")), "timeoutMs");
-    refused(document(route("/a/", R"("timeoutMs":9,"service":"none")")), "no service");
-    refused(document(route("/a/", R"("timeoutMs":9)")), "weights");
-    refused(document(route("/a/", R"("timeoutMs":9,"distribution":[{"service":"s","weight":0}])")),
-            "weights");
-    refused(document(route("/a/", R"("timeoutMs":9,"distribution":[{"service":"s","weight":-1}])")),
-            "minimum");
-    refused(document(route("/a/") + "," + route("/a/")), "two routes");
-    refused(document(route("a/")), "pattern");
-    refused(document(route("/a/"), 2, R"({"name":"s"},{"name":"s"})"), "stands twice");
-    refused(document(route("/a/", R"("timeoutMs":9,"timeoutMs":8,"service":"s")")), "stands twice");
-    refused(R"({"configVersion":2,"routes":)" + std::string(1'000'000, '['), "deep");
+Test(configuration, errors_name_the_invalid_element) {
+    expect_rejected("", "not JSON");
+    expect_rejected(document(route("/a/")).substr(0, 60), "not JSON");
+    expect_rejected("[]", "type");
+    expect_rejected(R"({"configVersion":2,"routes":[]})", "required");
+    expect_rejected(document(route("/a/"), 0), "minimum");
+    expect_rejected(document(route("/a/", R"("timeoutMs":0,"service":"s")")), "minimum");
+    expect_rejected(document(route("/a/", R"("timeoutMs":0.5,"service":"s")")), "timeoutMs");
+    expect_rejected(document(route("/a/", R"("timeoutMs":9,"service":"none")")), "no service");
+    expect_rejected(document(route("/a/", R"("timeoutMs":9)")), "weights");
+    expect_rejected(document(route("/a/", R"("timeoutMs":9,"distribution":[{"service":"s","weight":0}])")),
+                    "weights");
+    expect_rejected(document(route("/a/", R"("timeoutMs":9,"distribution":[{"service":"s","weight":-1}])")),
+                    "minimum");
+    expect_rejected(document(route("/a/") + "," + route("/a/")), "two routes");
+    expect_rejected(document(route("a/")), "pattern");
+    expect_rejected(document(route("/a/"), 2, R"({"name":"s"},{"name":"s"})"), "stands twice");
+    expect_rejected(document(route("/a/", R"("timeoutMs":9,"timeoutMs":8,"service":"s")")), "stands twice");
+    expect_rejected(R"({"configVersion":2,"routes":)" + std::string(1'000'000, '['), "deep");
 }
 
-// Against a plain search over all routes.
+// Compares the route table with a linear search over all routes.
 Test(configuration, the_longest_prefix_wins) {
     std::mt19937_64 random(4);
     for (int round = 0; round < 200; ++round) {
@@ -100,27 +101,28 @@
         std::string path = "/";
         for (int depth = 0; depth < 4; ++depth)
             path += std::string(1, static_cast<char>('a' + random() % 2)) + "/";
-        std::string best;
+        std::string expected_prefix;
         for (const auto& [prefix, index] : prefixes)
-            if (path.compare(0, prefix.size(), prefix) == 0 && prefix.size() > best.size()) best = prefix;
+            if (path.compare(0, prefix.size(), prefix) == 0 && prefix.size() > expected_prefix.size())
+                expected_prefix = prefix;
         const Route* found = table.find("H:80", path);
-        cr_assert_eq(found == nullptr, best.empty());
-        if (found != nullptr) expect_text(found->path_prefix.c_str(), best.c_str());
+        cr_assert_eq(found == nullptr, expected_prefix.empty());
+        if (found != nullptr) expect_text(found->path_prefix.c_str(), expected_prefix.c_str());
         cr_assert_null(table.find("other", path));
     }
 }
 
-Test(orders, two_on_one_version_and_the_same_again) {
+Test(orders, conflicting_orders_are_refused_and_repeated_ones_acknowledged) {
     const PutConfiguration first{0, document(route("/a/"), 3)}, other{0, document(route("/b/"), 3)};
     auto state = std::get<ControlState>(willowrill::configuration::apply({}, first).value());
     cr_assert_eq(state.version, 3U);
     cr_assert(willowrill::configuration::apply(state, other).error().kind == ErrorKind::version_conflict);
     cr_assert(std::holds_alternative<Unchanged>(willowrill::configuration::apply(state, first).value()),
-              "acknowledged again");
+              "a repeated order is acknowledged");
     state = std::get<ControlState>(
         willowrill::configuration::apply(state, PutConfiguration{3, document(route("/c/"), 9)}).value());
     cr_assert(std::holds_alternative<Unchanged>(willowrill::configuration::apply(state, first).value()),
-              "also after a later one");
+              "a repeated order is acknowledged after a later order too");
     cr_assert(willowrill::configuration::apply(state, PutConfiguration{9, document(route("/d/"), 9)})
                   .error()
                   .kind == ErrorKind::invalid_configuration);
@@ -130,52 +132,54 @@
             .kind == ErrorKind::invalid_configuration);
 }
 
-// Random orders, each compared with a list kept by hand; the state goes through its encoding at every step.
-Test(orders, agree_with_a_plain_model) {
+// Applies random orders and compares each result with a reference model. The state is encoded and decoded at
+// every step.
+Test(orders, agree_with_a_reference_model) {
     std::mt19937_64 random(9);
     ControlState state;
-    Version version = 0;
-    std::string text;
-    std::set<std::string> zones;
-    std::vector<PutConfiguration> taken;
+    Version expected_version = 0;
+    std::string expected_configuration;
+    std::set<std::string> expected_zones;
+    std::vector<PutConfiguration> accepted;
     for (int i = 0; i < 2000; ++i) {
         Order order;
-        bool changes = false, fails = false;
+        bool changes_state = false, is_refused = false;
         const auto kind = random() % 4;
         if (kind == 0) {
             const std::string zone(1, static_cast<char>('a' + random() % 3));
             order = Evacuate{zone};
-            changes = zones.insert(zone).second;
+            changes_state = expected_zones.insert(zone).second;
         } else if (kind == 1) {
             const std::string zone(1, static_cast<char>('a' + random() % 3));
             order = EndEvacuation{zone};
-            changes = zones.erase(zone) > 0;
-        } else if (kind == 2 && !taken.empty()) {
-            order = taken[random() % taken.size()];
+            changes_state = expected_zones.erase(zone) > 0;
+        } else if (kind == 2 && !accepted.empty()) {
+            order = accepted[random() % accepted.size()];
         } else {
-            const Version based = version - std::min<Version>(version, random() % 2);
-            const int next =
-                std::max(1, static_cast<int>(version + random() % 3)); // 0 would break the schema
-            const PutConfiguration put{based, document(route(fmt::format("/{}/", i)), next)};
+            const Version based_on = expected_version - std::min<Version>(expected_version, random() % 2);
+            const int next_version =
+                std::max(1, static_cast<int>(expected_version + random() % 3)); // the schema does not allow 0
+            const PutConfiguration put{based_on, document(route(fmt::format("/{}/", i)), next_version)};
             order = put;
-            fails = based != version || static_cast<Version>(next) <= version;
-            changes = !fails;
-            if (changes) {
-                version = static_cast<Version>(next);
-                text = put.body;
-                taken.push_back(put);
+            is_refused =
+                based_on != expected_version || static_cast<Version>(next_version) <= expected_version;
+            changes_state = !is_refused;
+            if (changes_state) {
+                expected_version = static_cast<Version>(next_version);
+                expected_configuration = put.body;
+                accepted.push_back(put);
             }
         }
         const auto applied = willowrill::configuration::apply(state, order);
-        cr_assert_eq(static_cast<bool>(applied), !fails, "order %d", i);
+        cr_assert_eq(static_cast<bool>(applied), !is_refused, "order %d", i);
         if (!applied) continue;
-        cr_assert_eq(std::holds_alternative<ControlState>(applied.value()), changes, "order %d", i);
-        if (changes) state = decode(encode(std::get<ControlState>(applied.value()))).value();
-        cr_assert_eq(state.version, version);
-        expect_text(state.configuration.c_str(), text.c_str());
-        cr_assert(state.evacuated_zones == zones);
+        cr_assert_eq(std::holds_alternative<ControlState>(applied.value()), changes_state, "order %d", i);
+        if (changes_state) state = decode(encode(std::get<ControlState>(applied.value()))).value();
+        cr_assert_eq(state.version, expected_version);
+        expect_text(state.configuration.c_str(), expected_configuration.c_str());
+        cr_assert(state.evacuated_zones == expected_zones);
     }
-    cr_assert_gt(taken.size(), 100U);
+    cr_assert_gt(accepted.size(), 100U);
 }
 
 namespace {
@@ -192,46 +196,47 @@
 
 } // namespace
 
-// A thousand orders and more: the newest are acknowledged again, of the oldest nothing is claimed either way.
-Test(orders, one_sent_again_is_acknowledged_or_unclear_and_never_refused) {
+// More orders than are kept: the newest are acknowledged again; for the oldest, the outcome is reported as
+// unknown.
+Test(orders, a_repeated_order_is_acknowledged_or_unknown_and_never_refused) {
     ControlState state;
-    const int orders = static_cast<int>(max_accepted_orders) + 200;
-    for (int version = 1; version <= orders; ++version)
+    const int order_count = static_cast<int>(max_accepted_orders) + 200;
+    for (int version = 1; version <= order_count; ++version)
         state = applied(state, change(static_cast<Version>(version - 1), version));
     state = decode(encode(state)).value();
     cr_assert_eq(state.accepted_orders.size(), max_accepted_orders);
-    int acknowledged = 0, unclear = 0;
-    for (int version = 1; version <= orders; ++version) {
-        const auto again =
+    int acknowledged = 0, unknown = 0;
+    for (int version = 1; version <= order_count; ++version) {
+        const auto repeated =
             willowrill::configuration::apply(state, change(static_cast<Version>(version - 1), version));
-        if (again) {
-            cr_assert(std::holds_alternative<Unchanged>(again.value()));
+        if (repeated) {
+            cr_assert(std::holds_alternative<Unchanged>(repeated.value()));
             ++acknowledged;
         } else {
-            cr_assert(again.error().kind == ErrorKind::outcome_forgotten, "version %d", version);
-            cr_assert_geq(willowrill::errors::answer_to(again.error().kind).status, 500U);
-            ++unclear;
+            cr_assert(repeated.error().kind == ErrorKind::outcome_forgotten, "version %d", version);
+            cr_assert_geq(willowrill::errors::answer_to(repeated.error().kind).status, 500U);
+            ++unknown;
         }
     }
     cr_assert_eq(acknowledged, static_cast<int>(max_accepted_orders));
-    cr_assert_eq(unclear, 200);
-    // One that was surely not taken is refused.
-    const auto late =
-        willowrill::configuration::apply(state, change(static_cast<Version>(orders - 1), orders + 5));
-    cr_assert(late.error().kind == ErrorKind::version_conflict);
+    cr_assert_eq(unknown, 200);
+    // An order that was certainly not accepted is refused.
+    const auto outdated = willowrill::configuration::apply(
+        state, change(static_cast<Version>(order_count - 1), order_count + 5));
+    cr_assert(outdated.error().kind == ErrorKind::version_conflict);
 }
 
-Test(orders, two_bodies_under_one_number_are_two_orders) {
+Test(orders, orders_of_one_version_with_different_bodies_are_distinct) {
     const ControlState state = applied({}, change(0, 5));
     const PutConfiguration other{0, document(route("/other/"), 5)};
     cr_assert(willowrill::configuration::apply(state, other).error().kind == ErrorKind::version_conflict);
-    PutConfiguration elsewhere = change(0, 5);
-    elsewhere.based_on = 3;
-    cr_assert_not(static_cast<bool>(willowrill::configuration::apply(state, elsewhere)));
+    PutConfiguration other_base = change(0, 5);
+    other_base.based_on = 3;
+    cr_assert_not(static_cast<bool>(willowrill::configuration::apply(state, other_base)));
 }
 
-// The version and the body are told apart: "1" before "2:..." is not "12" before ":...".
-Test(orders, the_identity_of_an_order_has_no_ambiguous_join) {
+// The hashed text separates the version from the body: "1" and "2:..." differ from "12" and ":...".
+Test(orders, the_digest_of_an_order_separates_version_and_body) {
     const ControlState state = applied({}, change(0, 5));
     cr_assert_neq(state.accepted_orders.at(0).digest.size(), 0U);
     const ControlState other = applied({}, PutConfiguration{0, " " + change(0, 5).body});
@@ -239,26 +244,26 @@
 }
 
 // SHA-256 by its published test vector: "0:" and the body are what is hashed.
-Test(orders, the_identity_is_a_sha_256_that_survives_encoding) {
+Test(orders, the_digest_is_a_sha_256_that_survives_encoding) {
     const ControlState state = applied({}, change(0, 5));
-    const ControlState again = decode(encode(state)).value();
-    cr_assert(again.accepted_orders == state.accepted_orders);
+    const ControlState decoded = decode(encode(state)).value();
+    cr_assert(decoded.accepted_orders == state.accepted_orders);
     cr_assert_not(static_cast<bool>(decode(
         R"({"version":1,"configuration":"","evacuated":[],"taken":[["00",1]],"forgotten_through":0})")));
     cr_assert_not(static_cast<bool>(
         decode(R"({"version":1,"configuration":"","evacuated":[],"taken":[[7,1]],"forgotten_through":0})")));
 }
 
-Test(orders, an_evacuation_sent_again_after_it_was_turned_round_is_the_last_word) {
+Test(orders, a_repeated_evacuation_takes_effect_after_it_was_ended) {
     ControlState state = applied({}, Evacuate{"a"});
     state = applied(state, EndEvacuation{"a"});
     state = applied(state, Evacuate{"a"});
     cr_assert(state.evacuated_zones.contains("a"));
 }
 
-// 830 tenants' routes fit, and so do five times as many; what cannot be kept is refused before it is
-// proposed: what is too long, and what is shorter but cannot be packed into the room of a record.
-Test(orders, a_state_too_large_to_be_kept_is_refused_by_name) {
+// The routes of 830 tenants fit, and so do five times as many. A state that members cannot store is refused
+// before it is proposed: because its encoding is too long, or because it does not compress into a record.
+Test(orders, a_state_too_large_to_be_stored_is_refused_as_such) {
     const auto with_routes = [](int routes, int random_bytes) {
         std::mt19937_64 random(7);
         std::string text;
@@ -270,7 +275,7 @@
         }
         return document(text, 5);
     };
-    const auto refused = [&](int routes, int random_bytes) {
+    const auto expect_too_large = [&](int routes, int random_bytes) {
         const PutConfiguration order{0, with_routes(routes, random_bytes)};
         const auto result = willowrill::configuration::apply({}, order);
         cr_assert_not(static_cast<bool>(result));
@@ -280,12 +285,12 @@
     const ControlState state = applied({}, PutConfiguration{0, with_routes(5 * 4 * 830, 0)});
     cr_assert_gt(encode(state).size(), max_record_bytes);
     cr_assert_leq(encode(state).size(), max_state_bytes);
-    refused(100'000, 0);
-    refused(10'000, 320);
+    expect_too_large(100'000, 0);
+    expect_too_large(10'000, 320);
 }
 
-// What a member of an earlier version has stored.
-Test(orders, a_state_with_its_configuration_among_the_rest_is_read) {
+// The format in which members of an earlier version have stored the state.
+Test(orders, a_state_with_its_configuration_in_the_json_object_is_decoded) {
     const auto old = decode(
         R"({"version":3,"configuration":"{\"a\":1}","evacuated":["z"],"taken":[],"forgotten_through":2})");
     cr_assert(static_cast<bool>(old));
@@ -325,8 +330,9 @@
     cr_assert_eq(cluster_version_of(encode(state)), 4);
 }
 
-// A program of version 3 reads the first line's `version`; before the upgrade is finished it must find it.
-Test(orders, before_an_upgrade_is_finished_states_are_written_as_ever) {
+// A program of version 3 reads `version` on the first line, so it must be there until the upgrade is
+// finished.
+Test(orders, before_an_upgrade_is_finished_states_keep_the_old_format) {
     const ControlState state = applied({}, Evacuate{"hall-a"});
     expect_text(encode(state),
                 "{\"evacuated\":[\"hall-a\"],\"forgotten_through\":0,\"taken\":[],\"version\":0}\n");
@@ -336,7 +342,7 @@
     cr_assert_eq(upgraded.find("{\"evacuated\""), upgraded.find("\"orders\":") + 9);
 }
 
-Test(orders, a_state_of_a_later_cluster_version_is_refused_by_name) {
+Test(orders, a_state_of_a_later_cluster_version_is_refused_as_such) {
     std::string later = encode(applied({}, FinishUpgrade{4}));
     later.replace(later.find(":4"), 2, ":5");
     const auto read = decode(later);
