--- a/src/system/distribution/core_session.h
+++ b/src/system/distribution/core_session.h
@@ -1,6 +1,7 @@
-// A scheduler's session with the core: renews its lease at one core member, and hands on what that member
-// sends. Leaves a member that is silent or not current, and moves to a nearer one where there is one. Pure:
-// connections and time come from outside; one thread.
+// A scheduler's session with the core: renews the scheduler's lease at one core member and passes the updates
+// of that member on. Leaves a member that is silent or not current, and moves to a nearer one if there is
+// one. A state machine without I/O or clock: the caller supplies events and the time, and carries out the
+// actions. Not thread-safe.
 #pragma once
 
 #include "system/messages/messages.h"
@@ -27,14 +28,14 @@
 struct MessageReceived {
     messages::CoreUpdate message;
 };
-// The content of the lease has changed: it is renewed at once.
+// The content of the lease has changed. The session renews it immediately.
 struct LeaseChanged {};
 using SessionEvent =
     std::variant<SessionTick, DialSucceeded, DialFailed, ConnectionLost, MessageReceived, LeaseChanged>;
 
 // ---- Actions ---------------------------------------------------------------------------------------------
 
-// Answered by `DialSucceeded` or `DialFailed`.
+// Opens a connection to the host. The caller reports `DialSucceeded` or `DialFailed`.
 struct Dial {
     std::string host;
 };
@@ -42,7 +43,7 @@
 struct RenewLease {
     std::uint64_t renewal = 0;
 };
-// A state, the members or a list of workers, for the scheduler to take in.
+// Passes an update from the core to the scheduler: a state, the members or a list of workers.
 struct DeliverUpdate {
     messages::CoreUpdate message;
 };
@@ -50,19 +51,21 @@
 
 class CoreSession {
   public:
-    // Of this scheduler.
+    // Location of this scheduler; empty strings if it is not known.
     struct Location {
         std::string zone;
         std::string region;
     };
-    // `seeds`: hosts of core members as the settings name them now; asked only when one is looked for.
+    // `seeds`: returns the hosts of core members in the current settings; called only when the session
+    // selects a member to dial.
     explicit CoreSession(std::function<std::vector<std::string>()> seeds, Location location = {})
         : seeds_(std::move(seeds)), location_(std::move(location)) {}
 
+    // Handles one event and appends the resulting actions to `actions`.
     void step(SteadyTime now, const SessionEvent& event, std::vector<SessionAction>& actions);
     bool connected() const { return phase_ == Phase::connected; }
-    // Why a core member refused a session, where no other has answered a renewal since.
-    const std::optional<std::string>& refusal() const { return refusal_; }
+    // The reason for which a core member refused a session, unless a renewal has been acknowledged since.
+    const std::optional<std::string>& refusal() const { return refusal_detail_; }
 
   private:
     enum class Phase { idle, dialling, connected };
@@ -79,15 +82,15 @@
     void on_lease_ack(const messages::LeaseAck& ack);
     void on_refusal(const messages::HelloRefusal& refusal);
     void back_off(const std::string& host);
-    void move_nearer();
-    // Of a member from here: 0 in this zone, 1 in this region, 2 elsewhere or not known.
+    void move_to_nearer_member();
+    // Distance of a member: 0 in the same zone, 1 in the same region, 2 elsewhere or unknown.
     int distance(const messages::CoreMember& member) const;
-    std::vector<std::string> candidates() const;
+    std::vector<std::string> candidate_hosts() const;
 
-    // A member that was left or could not be reached, and is not moved to for a while.
+    // A member that was left or could not be reached. The session does not move to it before `until`.
     struct BackOff {
         SteadyTime until{0};
-        SteadyTime pause{0}; // doubles with each time
+        SteadyTime duration{0}; // doubles with each failure, up to a maximum
     };
 
     std::function<std::vector<std::string>()> seeds_;
@@ -96,16 +99,16 @@
     std::vector<SessionAction>* actions_ = nullptr;
 
     Phase phase_ = Phase::idle;
-    std::string host_;                                  // dialled last
-    std::string preferred_;                             // the one that was current last
-    std::map<std::string, messages::CoreMember> known_; // by host, as the last current one named them; at
-                                                        // most `max_core_members`
-    std::map<std::string, BackOff> backed_off_;         // by host; at most `max_core_members`
+    std::string dialled_host_;   // host dialled most recently
+    std::string preferred_host_; // the last member known to be current
+    // By host, as listed by the last current member; at most `max_core_members`.
+    std::map<std::string, messages::CoreMember> known_members_;
+    std::map<std::string, BackOff> back_offs_; // by host; at most `max_core_members`
     std::size_t next_candidate_ = 0;
-    SteadyTime renewed_{0}, answered_{0}, current_{0};
-    std::uint64_t renewal_ = 0;
-    std::optional<std::string> refusal_;
-    SteadyTime refused_until_{0}; // no member is dialled before
+    SteadyTime last_renewal_{0}, last_answer_{0}, last_current_{0};
+    std::uint64_t renewal_number_ = 0;
+    std::optional<std::string> refusal_detail_;
+    SteadyTime dial_blocked_until_{0}; // no member is dialled before this time
 };
 
 } // namespace willowrill::distribution
--- a/src/system/distribution/home_schedulers.cpp
+++ b/src/system/distribution/home_schedulers.cpp
@@ -10,19 +10,19 @@
 std::vector<membership::Lease> home_schedulers(const std::vector<membership::Lease>& members,
                                                const std::string& service, const std::string& zone,
                                                const std::set<std::string>& backed_off) {
-    std::vector<membership::Lease> out;
+    std::vector<membership::Lease> schedulers;
     for (const membership::Lease& member : members)
-        if (member.zone == zone && member.phase != membership::Phase::leaving) out.push_back(member);
-    std::ranges::sort(out, {}, [&](const membership::Lease& member) {
+        if (member.zone == zone && member.phase != membership::Phase::leaving) schedulers.push_back(member);
+    std::ranges::sort(schedulers, {}, [&](const membership::Lease& member) {
         const std::uint64_t weight = ownership::rendezvous_weight(service, member.node);
         return std::tuple(backed_off.contains(member.node), ~weight, member.node);
     });
-    return out;
+    return schedulers;
 }
 
 std::string probing_zone(const std::vector<membership::Lease>& members, const std::string& worker_zone,
                          const std::string& worker_region) {
-    std::string best;
+    std::string best_zone;
     std::tuple<int, std::uint64_t> best_rank{3, 0};
     for (const membership::Lease& member : members) {
         if (member.phase == membership::Phase::leaving) continue;
@@ -30,9 +30,9 @@
         const std::tuple rank{distance, ownership::rendezvous_weight(worker_zone, member.zone)};
         if (rank >= best_rank) continue;
         best_rank = rank;
-        best = member.zone;
+        best_zone = member.zone;
     }
-    return best;
+    return best_zone;
 }
 
 } // namespace willowrill::distribution
--- a/src/system/distribution/member_view.cpp
+++ b/src/system/distribution/member_view.cpp
@@ -6,31 +6,31 @@
 
 void MemberView::apply(const messages::MembersSnapshot& snapshot) {
     members_.clear();
-    add(snapshot.members);
-    number_ = snapshot.number;
+    add_leases(snapshot.members);
+    list_number_ = snapshot.number;
 }
 
 bool MemberView::apply(const messages::MembersDelta& delta) {
-    if (!number_ || *number_ + 1 != delta.number) return false;
+    if (!list_number_ || *list_number_ + 1 != delta.number) return false;
     for (const std::string& node : delta.removed)
         members_.erase(node);
-    add(delta.changed);
-    number_ = delta.number;
+    add_leases(delta.changed);
+    list_number_ = delta.number;
     return true;
 }
 
-void MemberView::add(const std::vector<Lease>& leases) {
+void MemberView::add_leases(const std::vector<Lease>& leases) {
     for (const Lease& lease : leases)
         if (members_.contains(lease.node) || members_.size() < membership::max_leases)
             members_[lease.node] = lease;
 }
 
 std::vector<Lease> MemberView::members() const {
-    std::vector<Lease> out;
-    out.reserve(members_.size());
+    std::vector<Lease> leases;
+    leases.reserve(members_.size());
     for (const auto& [node, lease] : members_)
-        out.push_back(lease);
-    return out;
+        leases.push_back(lease);
+    return leases;
 }
 
 } // namespace willowrill::distribution
--- a/src/system/distribution/member_view.h
+++ b/src/system/distribution/member_view.h
@@ -1,4 +1,5 @@
-// The members of the service as a scheduler knows them from its core member. Pure; one thread.
+// The members of the service as a scheduler has learned them from its core member. Free of I/O; not
+// thread-safe.
 #pragma once
 
 #include "system/membership/lease_table.h"
@@ -14,22 +15,23 @@
 
 class MemberView {
   public:
-    // Deltas count from the next snapshot on; the members known stay until it comes.
-    void begin_session() { number_.reset(); }
+    // Starts a new session: deltas are rejected until the next snapshot. The known members are kept until
+    // then.
+    void begin_session() { list_number_.reset(); }
 
     void apply(const messages::MembersSnapshot& snapshot);
-    // False where the base of the delta is missing: nothing has changed, and the snapshot has to be
-    // requested.
+    // Returns false, without any change, if the base of the delta is missing: the caller has to request a
+    // snapshot.
     [[nodiscard]] bool apply(const messages::MembersDelta& delta);
 
-    // In the order of their nodes' names.
+    // Returns the members ordered by node name.
     std::vector<membership::Lease> members() const;
 
   private:
-    void add(const std::vector<membership::Lease>& leases);
+    void add_leases(const std::vector<membership::Lease>& leases);
 
-    std::optional<std::uint64_t> number_;              // of the list; none until the session's first snapshot
-    std::map<std::string, membership::Lease> members_; // by node; bounded as lease tables are
+    std::optional<std::uint64_t> list_number_;         // empty until the first snapshot of the session
+    std::map<std::string, membership::Lease> members_; // by node; at most `max_leases`
 };
 
 } // namespace willowrill::distribution
--- a/src/system/distribution/scheduler_sessions.cpp
+++ b/src/system/distribution/scheduler_sessions.cpp
@@ -13,7 +13,7 @@
     if (sessions_.size() >= membership::max_leases) return callbacks_.close(id);
     send_state(id, sessions_[id]);
     if (members_snapshot_) callbacks_.send(id, members_snapshot_);
-    for (const auto& [zone, frame] : zones_)
+    for (const auto& [zone, frame] : zone_frames_)
         callbacks_.send(id, frame);
 }
 
@@ -27,12 +27,14 @@
 void SchedulerSessions::on_renewal(SessionId id, Session& session, const messages::RenewLease& renewal) {
     session.lease = renewal.lease;
     session.active_position = renewal.active_position;
-    answer_resync(id, session, renewal.resync);
-    callbacks_.renewed(renewal.lease);
-    // A session that began while this member was behind, or between two primaries, has not got the state yet.
+    handle_resync_request(id, session, renewal.resync);
+    callbacks_.on_lease_renewed(renewal.lease);
+    // A session that started while this member was behind, or while there was no primary, has not received
+    // the state yet.
     send_state(id, session);
     const bool current = callbacks_.is_current();
-    callbacks_.send(id, frame_of(messages::LeaseAck{renewal.lease.renewal, current, callbacks_.core()}));
+    callbacks_.send(id,
+                    frame_of(messages::LeaseAck{renewal.lease.renewal, current, callbacks_.core_members()}));
 }
 
 void SchedulerSessions::on_closed(SessionId id) {
@@ -40,14 +42,14 @@
     if (session == sessions_.end()) return;
     const auto lease = session->second.lease;
     sessions_.erase(session);
-    if (lease) callbacks_.ended(*lease);
+    if (lease) callbacks_.on_lease_ended(*lease);
 }
 
-void SchedulerSessions::answer_resync(SessionId id, Session& session,
-                                      const messages::ResyncRequest& resync) const {
+void SchedulerSessions::handle_resync_request(SessionId id, Session& session,
+                                              const messages::ResyncRequest& resync) const {
     if (resync.members && members_snapshot_) callbacks_.send(id, members_snapshot_);
     if (!resync.state) return;
-    session.sent.reset();
+    session.last_sent_position.reset();
     session.needs_snapshot = true;
 }
 
@@ -55,66 +57,70 @@
                                       const configuration::ControlState& state) {
     state_delta_ = nullptr;
     if (state_snapshot_)
-        if (const auto delta = make_state_delta(position_, state_, position, state))
+        if (const auto delta = make_state_delta(state_position_, state_, position, state))
             state_delta_ = frame_of(*delta);
-    base_ = position_;
-    position_ = position;
+    base_position_ = state_position_;
+    state_position_ = position;
     state_ = state;
     state_snapshot_ = frame_of(make_state_snapshot(position, state));
     for (auto& [id, session] : sessions_)
         send_state(id, session);
 }
 
-// The delta goes to who has its base: what was sent on a session arrives before it, or the session ends.
+// Returns the delta if the scheduler has its base, else the snapshot. Messages of a session arrive in order
+// or the session ends, so a state that was sent counts as received.
 const Frame& SchedulerSessions::state_frame_for(const Session& session) const {
-    const auto& position = session.sent ? session.sent : session.active_position;
-    return state_delta_ && !session.needs_snapshot && position == base_ ? state_delta_ : state_snapshot_;
+    const auto& position = session.last_sent_position ? session.last_sent_position : session.active_position;
+    return state_delta_ && !session.needs_snapshot && position == base_position_ ? state_delta_
+                                                                                 : state_snapshot_;
 }
 
 void SchedulerSessions::send_state(SessionId id, Session& session) const {
-    if (!state_snapshot_ || session.sent == position_) return;
-    const bool is_newer = session.active_position && *session.active_position < position_;
+    if (!state_snapshot_ || session.last_sent_position == state_position_) return;
+    const bool is_newer = session.active_position && *session.active_position < state_position_;
     if (!is_newer && !callbacks_.is_current()) return;
     callbacks_.send(id, state_frame_for(session));
-    session.sent = position_;
+    session.last_sent_position = state_position_;
     session.needs_snapshot = false;
 }
 
 void SchedulerSessions::publish_members(const std::vector<membership::Lease>& leases) {
     current_members_.clear();
     for (const membership::Lease& lease : leases) {
-        membership::Lease& wanted = current_members_[lease.node];
-        wanted = lease;
-        wanted.renewal = 0; // only the holder's own core member needs it
+        membership::Lease& member_lease = current_members_[lease.node];
+        member_lease = lease;
+        member_lease.renewal = 0; // only the core member that serves the holder needs it
     }
 }
 
 void SchedulerSessions::flush() {
     if (current_members_ == published_members_) return;
-    std::vector<membership::Lease> all, changed;
-    std::vector<std::string> removed;
+    std::vector<membership::Lease> all_leases, changed_leases;
+    std::vector<std::string> removed_nodes;
     for (const auto& [node, lease] : current_members_) {
         const auto published = published_members_.find(node);
-        if (published == published_members_.end() || published->second != lease) changed.push_back(lease);
-        all.push_back(lease);
+        if (published == published_members_.end() || published->second != lease)
+            changed_leases.push_back(lease);
+        all_leases.push_back(lease);
     }
     for (const auto& [node, lease] : published_members_)
-        if (!current_members_.contains(node)) removed.push_back(node);
+        if (!current_members_.contains(node)) removed_nodes.push_back(node);
     published_members_ = current_members_;
     const bool is_first = !members_snapshot_;
-    ++published_number_;
-    members_snapshot_ = frame_of(messages::MembersSnapshot{published_number_, all});
-    push(is_first ? members_snapshot_
-                  : frame_of(messages::MembersDelta{published_number_, changed, removed}));
+    ++members_list_number_;
+    members_snapshot_ = frame_of(messages::MembersSnapshot{members_list_number_, all_leases});
+    broadcast(is_first
+                  ? members_snapshot_
+                  : frame_of(messages::MembersDelta{members_list_number_, changed_leases, removed_nodes}));
 }
 
 void SchedulerSessions::publish_zone(const discovery::ZoneList& list) {
-    Frame& frame = zones_[list.zone];
+    Frame& frame = zone_frames_[list.zone];
     frame = frame_of(messages::CoreUpdate{messages::ZoneListUpdate{list}});
-    push(frame);
+    broadcast(frame);
 }
 
-void SchedulerSessions::push(const Frame& frame) const {
+void SchedulerSessions::broadcast(const Frame& frame) const {
     for (const auto& [id, session] : sessions_)
         callbacks_.send(id, frame);
 }
--- a/src/system/distribution/state_messages.h
+++ b/src/system/distribution/state_messages.h
@@ -1,4 +1,4 @@
-// The replicated state as the messages that take it to schedulers. Pure.
+// Builds the messages that carry the replicated state to schedulers. Free of I/O.
 #pragma once
 
 #include "system/configuration/control_state.h"
@@ -12,8 +12,8 @@
 messages::StateSnapshot make_state_snapshot(const replication::Position& position,
                                             const configuration::ControlState& state);
 
-// The state at `position` as the difference to the one at `base_position`. Nothing where the difference
-// cannot be expressed or would be longer than the configuration itself.
+// Builds the delta from the state at `base_position` to the one at `position`. Returns nothing if the
+// difference cannot be expressed or would be at least as long as the configuration itself.
 std::optional<messages::StateDelta> make_state_delta(const replication::Position& base_position,
                                                      const configuration::ControlState& base,
                                                      const replication::Position& position,
--- a/src/system/distribution/state_update.cpp
+++ b/src/system/distribution/state_update.cpp
@@ -12,7 +12,8 @@
     return !active || position > active->position;
 }
 
-Result<Configuration> patched(const Configuration& base, const std::optional<std::string>& patch) {
+Result<Configuration> apply_optional_patch(const Configuration& base,
+                                           const std::optional<std::string>& patch) {
     if (!patch) return base;
     return configuration::apply_difference(base, *patch);
 }
@@ -31,7 +32,7 @@
 Result<StateUpdateResult> apply(const messages::StateDelta& delta, const std::optional<ActiveState>& active) {
     if (!is_newer(delta.position, active)) return StateUpdateResult{AlreadyCurrent{}};
     if (!active || delta.base != active->position) return StateUpdateResult{MissingBase{}};
-    auto next = patched(*active->configuration, delta.patch);
+    auto next = apply_optional_patch(*active->configuration, delta.patch);
     if (!next) return next.error();
     return StateUpdateResult{StateUpdate{delta.position, std::move(next.value()), delta.evacuated_zones}};
 }
--- a/src/system/distribution/state_update.h
+++ b/src/system/distribution/state_update.h
@@ -1,5 +1,5 @@
-// What a scheduler makes of a state that its core member sends: a newer state, nothing new, or a delta whose
-// base it has not got. A scheduler's state never goes back to a lower position. Pure.
+// Evaluates a state that a scheduler receives from its core member: it is newer, already known, or a delta
+// whose base the scheduler lacks. A scheduler's state never goes back to a lower position. Free of I/O.
 #pragma once
 
 #include "system/configuration/configuration.h"
@@ -14,29 +14,29 @@
 
 namespace willowrill::distribution {
 
-// The state that a scheduler has in force.
+// The state that is in force at a scheduler.
 struct ActiveState {
     replication::Position position;
     const configuration::Configuration* configuration = nullptr; // never null; owned by the caller
 };
 
-// A newer state, to be put in force.
+// A newer state, which the caller puts in force.
 struct StateUpdate {
     replication::Position position;
     configuration::Configuration configuration;
-    std::set<std::string> evacuated; // zones
+    std::set<std::string> evacuated; // names of zones
 };
 
-// The message says nothing new.
+// The state in the message is not newer than the one in force.
 struct AlreadyCurrent {};
 
-// The message is a delta to a state that is not in force: the snapshot has to be requested.
+// The message is a delta to a state that is not in force: the caller has to request a snapshot.
 struct MissingBase {};
 
 using StateUpdateResult = std::variant<StateUpdate, AlreadyCurrent, MissingBase>;
 
-// `active`: none where the scheduler has no state yet. An error where the configuration in the message cannot
-// be read; the state in force stays.
+// `active`: empty if the scheduler has no state yet. Fails if the configuration in the message is invalid;
+// the state in force then stays.
 errors::Result<StateUpdateResult> apply(const messages::StateSnapshot& snapshot,
                                         const std::optional<ActiveState>& active);
 errors::Result<StateUpdateResult> apply(const messages::StateDelta& delta,
--- a/tests/system/distribution/core_session_test.cpp
+++ b/tests/system/distribution/core_session_test.cpp
@@ -1,4 +1,4 @@
-// When a scheduler leaves its core member for another.
+// Selection of the core member that a scheduler has its session with.
 #include "system/distribution/core_session.h"
 #include "system/messages/messages.h"
 
@@ -24,12 +24,12 @@
     return lease_ack(current, members);
 }
 
-// A session, and the hosts that it dials.
+// Runs a session and records the hosts that it dials, its renewals and the updates that it delivers.
 struct FakeScheduler {
     std::vector<std::string> seeds{"10.1.0.1", "10.2.0.1"};
     CoreSession session{[this] { return seeds; }};
     std::vector<std::string> dialled;
-    std::vector<messages::CoreUpdate> pushed;
+    std::vector<messages::CoreUpdate> delivered_updates;
     int renewals = 0, disconnects = 0;
 
     void step(int at_ms, const SessionEvent& event) {
@@ -37,7 +37,8 @@
         session.step(SteadyTime(at_ms), event, actions);
         for (const SessionAction& action : actions) {
             if (const auto* dial = std::get_if<Dial>(&action)) dialled.push_back(dial->host);
-            if (const auto* push = std::get_if<DeliverUpdate>(&action)) pushed.push_back(push->message);
+            if (const auto* delivery = std::get_if<DeliverUpdate>(&action))
+                delivered_updates.push_back(delivery->message);
             renewals += std::holds_alternative<RenewLease>(action) ? 1 : 0;
             disconnects += std::holds_alternative<Disconnect>(action) ? 1 : 0;
         }
@@ -46,7 +47,8 @@
 
 } // namespace
 
-// Found by what crossed regions at rest: every scheduler had its session with the first seed.
+// Guards against every scheduler keeping its session with the first seed, which makes updates cross regions
+// more often than necessary.
 Test(core_session, a_session_moves_to_a_nearer_member_and_backs_off_one_that_fails) {
     FakeScheduler scheduler;
     scheduler.session = CoreSession([] { return std::vector<std::string>{"10.1.0.1"}; }, {"zone", "region"});
@@ -61,20 +63,22 @@
     scheduler.step(100, SessionTick{});
     scheduler.step(120, DialSucceeded{});
     scheduler.step(130, MessageReceived{lease_ack(true, core)});
-    expect_text(scheduler.dialled.back(), "10.2.0.1", "the next nearest");
+    expect_text(scheduler.dialled.back(), "10.2.0.1", "the next nearest member is dialled");
     scheduler.step(140, DialSucceeded{});
     for (int at = 200; at < 5000; at += 100)
         scheduler.step(at, MessageReceived{lease_ack(true, core)});
     expect_text(scheduler.dialled.back(), "10.2.0.1");
     scheduler.step(5100, MessageReceived{lease_ack(true, core)});
-    expect_text(scheduler.dialled.back(), "10.3.0.1", "after a while it is tried again");
+    expect_text(scheduler.dialled.back(), "10.3.0.1",
+                "the failed member is dialled again after the back-off");
     scheduler.step(5110, DialSucceeded{});
     for (int at = 5200; at < 9000; at += 100)
         scheduler.step(at, MessageReceived{lease_ack(true, core)});
-    cr_assert_eq(scheduler.disconnects, 3, "and there is none nearer");
+    cr_assert_eq(scheduler.disconnects, 3, "no member is nearer, so the session stays");
 }
 
-// It answers, and is cut off from the rest of the core: the far one is better, and is not left for it again.
+// The near member answers but is partitioned from the rest of the core, so the session belongs with the far
+// one and rarely returns to the near one.
 Test(core_session, a_near_member_that_is_behind_is_backed_off_for_longer_each_time) {
     FakeScheduler scheduler;
     scheduler.session = CoreSession([] { return std::vector<std::string>{"10.1.0.1"}; }, {"zone", "region"});
@@ -116,8 +120,8 @@
     cr_assert_eq(scheduler.disconnects, 1);
 }
 
-// Seeds that are all cut off or gone: what a member has named is tried as well.
-Test(core_session, members_named_in_an_acknowledgement_are_tried_too) {
+// If none of the seeds can be reached, the members listed in an acknowledgement are dialled as well.
+Test(core_session, members_listed_in_an_acknowledgement_are_dialled_too) {
     FakeScheduler scheduler;
     scheduler.step(0, SessionTick{});
     scheduler.step(20, DialSucceeded{});
@@ -131,7 +135,7 @@
     cr_assert_gt(std::ranges::count(scheduler.dialled, "10.9.0.1"), 0);
 }
 
-Test(core_session, members_no_longer_named_are_forgotten) {
+Test(core_session, members_no_longer_listed_are_not_dialled) {
     FakeScheduler scheduler;
     scheduler.step(0, SessionTick{});
     scheduler.step(20, DialSucceeded{});
@@ -146,12 +150,12 @@
     cr_assert_gt(std::ranges::count(scheduler.dialled, "10.8.0.1"), 0);
 }
 
-Test(core_session, updates_are_handed_on) {
+Test(core_session, updates_are_delivered) {
     FakeScheduler scheduler;
     scheduler.step(0, SessionTick{});
     scheduler.step(20, DialSucceeded{});
     scheduler.step(30, MessageReceived{messages::StateSnapshot{}});
-    cr_assert_eq(scheduler.pushed.size(), 1U);
+    cr_assert_eq(scheduler.delivered_updates.size(), 1U);
 }
 
 Test(core_session, a_member_that_refuses_is_left_and_the_reason_is_kept_until_another_answers) {
@@ -162,7 +166,7 @@
     cr_assert_eq(scheduler.disconnects, 1);
     expect_text(scheduler.session.refusal().value_or("none"), "the peer's program is too old");
     scheduler.step(100, SessionTick{});
-    cr_assert_eq(scheduler.dialled.size(), 1U); // not at once
+    cr_assert_eq(scheduler.dialled.size(), 1U); // not immediately
     scheduler.step(600, SessionTick{});
     expect_text(scheduler.dialled.back(), "10.2.0.1");
     scheduler.step(620, DialSucceeded{});
@@ -170,5 +174,5 @@
     cr_assert(scheduler.session.refusal().has_value());
     scheduler.step(640, MessageReceived{lease_ack(true, std::vector<std::string>{"10.2.0.1:8"})});
     cr_assert_not(scheduler.session.refusal().has_value());
-    cr_assert(scheduler.pushed.empty());
+    cr_assert(scheduler.delivered_updates.empty());
 }
--- a/tests/system/distribution/scheduler_sessions_test.cpp
+++ b/tests/system/distribution/scheduler_sessions_test.cpp
@@ -1,4 +1,4 @@
-// What a core member sends to the schedulers that have a session with it, and what they make of it.
+// The messages that a core member sends to schedulers in their sessions, and how schedulers apply them.
 #include "system/distribution/member_view.h"
 #include "system/distribution/scheduler_sessions.h"
 #include "system/distribution/state_update.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-// A hub, and what it has sent to each session.
+// A core member's sessions, with a record of the messages sent to each one.
 struct FakeMember {
     bool current = true;
     std::map<SessionId, std::vector<json>> sent;
@@ -39,14 +39,14 @@
 };
 
 configuration::ControlState state_with(configuration::Version version, const std::string& services) {
-    configuration::ControlState out;
-    out.version = version;
-    std::string others = R"({"name":"other-0"})"; // that do not change
+    configuration::ControlState state;
+    state.version = version;
+    std::string unchanged_services = R"({"name":"other-0"})"; // the same in every state
     for (int i = 1; i < 20; ++i)
-        others += fmt::format(R"(,{{"name":"other-{}"}})", i);
-    out.configuration = fmt::format(R"({{"configVersion":{},"routes":[],"services":[{}{}{}]}})", version,
-                                    services, services.empty() ? "" : ",", others);
-    return out;
+        unchanged_services += fmt::format(R"(,{{"name":"other-{}"}})", i);
+    state.configuration = fmt::format(R"({{"configVersion":{},"routes":[],"services":[{}{}{}]}})", version,
+                                      services, services.empty() ? "" : ",", unchanged_services);
+    return state;
 }
 
 configuration::ControlState state_of(configuration::Version version) { return state_with(version, ""); }
@@ -59,8 +59,8 @@
 
 } // namespace
 
-// A scheduler may come while its core member is between two primaries, and be ready already (found in a hunt:
-// it kept an old configuration).
+// A scheduler that is ready already may connect while its core member has no primary. It must receive the
+// state once the member is current again; otherwise it keeps an old configuration.
 Test(scheduler_sessions, a_session_that_began_while_the_member_was_behind_is_sent_the_state) {
     FakeMember member;
     member.current = false;
@@ -72,12 +72,12 @@
     member.current = true;
     member.sessions.on_message(1, renewal());
     member.sessions.on_message(1, renewal());
-    cr_assert_eq(member.count(1, "state"), 1, "once");
+    cr_assert_eq(member.count(1, "state"), 1, "the state is sent once");
     member.sessions.publish_state({3, 2}, state_of(7));
     cr_assert_eq(member.count(1, "state") + member.count(1, "state-change"), 2);
 }
 
-// A member that is cut off may still learn of a state that is old by now: nobody gets it there.
+// A partitioned member may still learn of a state that is outdated by now. It must not send it to schedulers.
 Test(scheduler_sessions, a_member_that_is_behind_sends_no_state) {
     FakeMember member;
     member.sessions.add_session(1);
@@ -89,8 +89,9 @@
     cr_assert_eq(member.count(1, "state"), 1);
 }
 
-// A core that rests for want of a quorum: what is committed and newer is better than what a scheduler has (a
-// day of our own: two members replaced while the successor of the first was cut off one way).
+// While the core has no quorum, a committed state that is newer than that of a scheduler is still sent to it.
+// Guards against a failure in which two members were replaced while the successor of the first was
+// partitioned in one direction.
 Test(scheduler_sessions, a_scheduler_with_an_older_state_is_sent_a_newer_one_by_any_member) {
     FakeMember member;
     member.current = false;
@@ -102,8 +103,8 @@
     member.sessions.on_message(2, renewal(replication::Position{4, 1}));
     member.sessions.on_message(3, renewal());
     cr_assert_eq(member.count(1, "state"), 1);
-    cr_assert_eq(member.count(2, "state"), 0, "it holds a newer one");
-    cr_assert_eq(member.count(3, "state"), 0, "it knows nothing, and must not begin with an old one");
+    cr_assert_eq(member.count(2, "state"), 0, "it has a newer state");
+    cr_assert_eq(member.count(3, "state"), 0, "it has no state and must not start with an outdated one");
 }
 
 Test(scheduler_sessions, sessions_are_bounded) {
@@ -123,22 +124,24 @@
     return apply(std::get<messages::StateDelta>(update), active);
 }
 
-// Applies the states among what a member sent to a session. Returns how many deltas lacked their base.
-int apply_states(const std::vector<json>& sent, std::optional<StateUpdate>& held) {
+// Applies the states among the messages sent to a session. Returns the number of deltas whose base was
+// missing.
+int apply_states(const std::vector<json>& sent, std::optional<StateUpdate>& current_state) {
     int missing_bases = 0;
     for (const json& message : sent) {
         if (!message.at("type").get<std::string>().starts_with("state")) continue;
         const auto active =
-            held ? std::optional(ActiveState{held->position, &held->configuration}) : std::nullopt;
+            current_state ? std::optional(ActiveState{current_state->position, &current_state->configuration})
+                          : std::nullopt;
         auto result = apply_update(decode_core_update(message), active);
         cr_assert(static_cast<bool>(result));
-        if (auto* next = std::get_if<StateUpdate>(&result.value())) held = std::move(*next);
+        if (auto* update = std::get_if<StateUpdate>(&result.value())) current_state = std::move(*update);
         missing_bases += std::holds_alternative<MissingBase>(result.value()) ? 1 : 0;
     }
     return missing_bases;
 }
 
-// Whether the message could be applied.
+// Returns whether the message could be applied.
 bool apply_members(MemberView& view, const json& message) {
     const messages::CoreUpdate update = decode_core_update(message);
     if (const auto* delta = std::get_if<messages::MembersDelta>(&update)) return view.apply(*delta);
@@ -147,18 +150,18 @@
 }
 
 std::vector<membership::Lease> leases(const std::vector<std::string>& nodes, membership::Phase phase) {
-    std::vector<membership::Lease> out;
+    std::vector<membership::Lease> result;
     for (const std::string& node : nodes) {
-        out.emplace_back();
-        out.back().node = node;
-        out.back().phase = phase;
+        result.emplace_back();
+        result.back().node = node;
+        result.back().phase = phase;
     }
-    return out;
+    return result;
 }
 
 } // namespace
 
-Test(scheduler_sessions, a_delta_goes_to_who_has_its_base_and_a_snapshot_to_the_others) {
+Test(scheduler_sessions, schedulers_with_the_base_are_sent_a_delta_and_others_a_snapshot) {
     FakeMember member;
     member.sessions.publish_state({3, 1}, state_with(6, R"({"name":"a"})"));
     member.sessions.add_session(1);
@@ -167,14 +170,14 @@
     cr_assert_eq(member.count(1, "state"), 1);
     cr_assert_eq(member.count(1, "state-change"), 1);
     cr_assert_eq(member.count(2, "state"), 1);
-    std::optional<StateUpdate> changed, whole;
-    cr_assert_eq(apply_states(member.sent[1], changed), 0);
-    cr_assert_eq(apply_states(member.sent[2], whole), 0);
-    for (auto* held : {&*changed, &*whole})
-        std::ranges::sort(held->configuration.services, {}, &configuration::Service::name);
-    cr_assert(changed->configuration.services == whole->configuration.services);
-    cr_assert(changed->position == whole->position);
-    cr_assert_eq(changed->configuration.version, 7U);
+    std::optional<StateUpdate> from_delta, from_snapshot;
+    cr_assert_eq(apply_states(member.sent[1], from_delta), 0);
+    cr_assert_eq(apply_states(member.sent[2], from_snapshot), 0);
+    for (auto* state : {&*from_delta, &*from_snapshot})
+        std::ranges::sort(state->configuration.services, {}, &configuration::Service::name);
+    cr_assert(from_delta->configuration.services == from_snapshot->configuration.services);
+    cr_assert(from_delta->position == from_snapshot->position);
+    cr_assert_eq(from_delta->configuration.version, 7U);
 }
 
 Test(scheduler_sessions, a_scheduler_with_a_missing_base_is_sent_a_snapshot) {
@@ -182,19 +185,20 @@
     member.sessions.publish_state({3, 1}, state_with(6, R"({"name":"a"})"));
     member.sessions.add_session(1);
     member.sessions.publish_state({3, 2}, state_with(7, R"({"name":"b"})"));
-    std::optional<StateUpdate> held;
-    cr_assert_eq(apply_states({member.sent[1].back()}, held), 1);
-    cr_assert_not(held.has_value());
-    messages::RenewLease asks = renewal(replication::Position{3, 1});
-    asks.resync.state = true;
-    const auto before = static_cast<long>(member.sent[1].size());
-    member.sessions.on_message(1, asks);
-    cr_assert_eq(apply_states({member.sent[1].begin() + before, member.sent[1].end()}, held), 0);
-    cr_assert(held && held->position == (replication::Position{3, 2}));
+    std::optional<StateUpdate> current_state;
+    cr_assert_eq(apply_states({member.sent[1].back()}, current_state), 1);
+    cr_assert_not(current_state.has_value());
+    messages::RenewLease resync_renewal = renewal(replication::Position{3, 1});
+    resync_renewal.resync.state = true;
+    const auto sent_before = static_cast<long>(member.sent[1].size());
+    member.sessions.on_message(1, resync_renewal);
+    cr_assert_eq(apply_states({member.sent[1].begin() + sent_before, member.sent[1].end()}, current_state),
+                 0);
+    cr_assert(current_state && current_state->position == (replication::Position{3, 2}));
 }
 
-// An evacuation changes the state and not the configuration; and what is not a list of named items cannot be
-// told as a change.
+// An evacuation changes the state but not the configuration, so its delta has no patch. A change outside of
+// the lists of named items cannot be expressed as a patch, so a snapshot is sent.
 Test(scheduler_sessions, a_delta_contains_only_what_has_changed) {
     FakeMember member;
     auto state = state_with(6, R"({"name":"a"})");
@@ -207,10 +211,10 @@
     state.configuration = R"({"configVersion":7,"routes":[],"services":[{"name":"a"}],"limits":{}})";
     member.sessions.publish_state({3, 3}, state);
     expect_text(member.sent[1].back().at("type"), "state");
-    std::optional<StateUpdate> held;
-    cr_assert_eq(apply_states(member.sent[1], held), 0);
-    cr_assert_eq(held->configuration.version, 7U);
-    cr_assert(held->evacuated.contains("z"));
+    std::optional<StateUpdate> current_state;
+    cr_assert_eq(apply_states(member.sent[1], current_state), 0);
+    cr_assert_eq(current_state->configuration.version, 7U);
+    cr_assert(current_state->evacuated.contains("z"));
 }
 
 Test(scheduler_sessions, a_state_sent_twice_or_out_of_order_changes_nothing) {
@@ -219,13 +223,13 @@
     member.sessions.add_session(1);
     for (std::uint64_t i = 2; i <= 5; ++i)
         member.sessions.publish_state({3, i}, state_with(5 + i, fmt::format(R"({{"name":"a{}"}})", i)));
-    std::optional<StateUpdate> held;
+    std::optional<StateUpdate> current_state;
     const std::vector<json>& sent = member.sent[1];
-    cr_assert_eq(apply_states({sent[0], sent[1], sent[1], sent[3], sent[0], sent[2], sent[3]}, held), 1,
-                 "the one whose base had not come");
-    cr_assert(held->position == (replication::Position{3, 4}));
-    cr_assert_not_null(held->configuration.find_service("a4"));
-    cr_assert_null(held->configuration.find_service("a3"));
+    cr_assert_eq(apply_states({sent[0], sent[1], sent[1], sent[3], sent[0], sent[2], sent[3]}, current_state),
+                 1, "the delta whose base had not arrived");
+    cr_assert(current_state->position == (replication::Position{3, 4}));
+    cr_assert_not_null(current_state->configuration.find_service("a4"));
+    cr_assert_null(current_state->configuration.find_service("a3"));
 }
 
 Test(scheduler_sessions, members_are_sent_as_one_snapshot_and_then_as_deltas) {
@@ -236,7 +240,7 @@
     member.sessions.publish_members(leases({"a", "b"}, Phase::ready));
     member.sessions.flush();
     member.sessions.flush();
-    cr_assert_eq(member.sent[1].size(), 1U, "what changed in one moment goes out once");
+    cr_assert_eq(member.sent[1].size(), 1U, "simultaneous changes are sent once");
     member.sessions.publish_members(leases({"b", "c"}, Phase::ready));
     member.sessions.flush();
     member.sessions.add_session(2);
@@ -254,22 +258,23 @@
     using membership::Phase;
     FakeMember member;
     member.sessions.add_session(1);
-    MemberView held, begun_anew;
+    MemberView view, new_session_view;
     for (const auto& nodes : {std::vector<std::string>{"a"}, {"b"}, {"b", "c"}}) {
         member.sessions.publish_members(leases(nodes, Phase::ready));
         member.sessions.flush();
     }
-    cr_assert(apply_members(held, member.sent[1][0]));
-    cr_assert_not(apply_members(held, member.sent[1][2]));
-    cr_assert(held.members() == leases({"a"}, Phase::ready), "nothing was changed");
-    cr_assert(apply_members(begun_anew, member.sent[1][0]));
-    begun_anew.begin_session();
-    cr_assert_not(apply_members(begun_anew, member.sent[1][1]));
-    messages::RenewLease asks = renewal();
-    asks.resync.members = true;
-    member.sessions.on_message(1, asks);
-    const auto whole = std::ranges::find_if(member.sent[1].rbegin(), member.sent[1].rend(),
-                                            [](const json& one) { return one.at("type") == "members"; });
-    cr_assert(apply_members(held, *whole));
-    cr_assert(held.members() == leases({"b", "c"}, Phase::ready));
+    cr_assert(apply_members(view, member.sent[1][0]));
+    cr_assert_not(apply_members(view, member.sent[1][2]));
+    cr_assert(view.members() == leases({"a"}, Phase::ready), "a rejected delta changes nothing");
+    cr_assert(apply_members(new_session_view, member.sent[1][0]));
+    new_session_view.begin_session();
+    cr_assert_not(apply_members(new_session_view, member.sent[1][1]));
+    messages::RenewLease resync_renewal = renewal();
+    resync_renewal.resync.members = true;
+    member.sessions.on_message(1, resync_renewal);
+    const auto snapshot =
+        std::ranges::find_if(member.sent[1].rbegin(), member.sent[1].rend(),
+                             [](const json& message) { return message.at("type") == "members"; });
+    cr_assert(apply_members(view, *snapshot));
+    cr_assert(view.members() == leases({"b", "c"}, Phase::ready));
 }
