--- a/src/system/discovery/instances.cpp
+++ b/src/system/discovery/instances.cpp
@@ -9,17 +9,17 @@
 
 using Json = nlohmann::json;
 
-std::optional<Instance> read_instance(const Json& in) {
-    Instance out;
-    out.id = in.value("instanceId", std::string());
-    out.service = in.value("service", std::string());
-    out.address = in.value("address", std::string());
-    out.zone = in.value("zone", std::string());
-    out.capacity = std::max<std::size_t>(1, in.value("capacity", std::size_t{1}));
-    if (in.value("state", std::string()) != "in_service") out.state = InstanceState::draining;
-    out.cold_remaining = Milliseconds(static_cast<std::int64_t>(in.value("coldRemainingMs", 0.0)));
-    if (out.id.empty() || out.service.empty() || out.address.empty()) return std::nullopt;
-    return out;
+std::optional<Instance> read_instance(const Json& json) {
+    Instance instance;
+    instance.id = json.value("instanceId", std::string());
+    instance.service = json.value("service", std::string());
+    instance.address = json.value("address", std::string());
+    instance.zone = json.value("zone", std::string());
+    instance.capacity = std::max<std::size_t>(1, json.value("capacity", std::size_t{1}));
+    if (json.value("state", std::string()) != "in_service") instance.state = InstanceState::draining;
+    instance.cold_remaining = Milliseconds(static_cast<std::int64_t>(json.value("coldRemainingMs", 0.0)));
+    if (instance.id.empty() || instance.service.empty() || instance.address.empty()) return std::nullopt;
+    return instance;
 }
 
 } // namespace
@@ -40,23 +40,23 @@
 
 bool same_content(const std::vector<Instance>& before, const std::vector<Instance>& after,
                   Milliseconds elapsed) {
-    constexpr Milliseconds drift{400};
-    const auto alike = [&](const Instance& a, const Instance& b) {
+    constexpr Milliseconds max_deviation{400};
+    const auto same_instance = [&](const Instance& a, const Instance& b) {
         const Milliseconds expected = std::max(Milliseconds(0), a.cold_remaining - elapsed);
-        const Milliseconds off = b.cold_remaining - expected;
-        Instance plain = b;
-        plain.cold_remaining = a.cold_remaining;
-        return plain == a && off < drift && off > -drift;
+        const Milliseconds deviation = b.cold_remaining - expected;
+        Instance normalized = b;
+        normalized.cold_remaining = a.cold_remaining;
+        return normalized == a && deviation < max_deviation && deviation > -max_deviation;
     };
-    return std::ranges::equal(before, after, alike);
+    return std::ranges::equal(before, after, same_instance);
 }
 
 bool Catalogue::update(const ZoneList& list) {
     const auto found = zones_.find(list.zone);
     if (found != zones_.end()) {
-        const ZoneList& held = found->second;
-        if (list.token < held.token) return false;
-        if (list.token == held.token && list.serial <= held.serial) return false;
+        const ZoneList& current = found->second;
+        if (list.token < current.token) return false;
+        if (list.token == current.token && list.serial <= current.serial) return false;
     }
     zones_[list.zone] = list;
     return true;
--- a/src/system/discovery/instances.h
+++ b/src/system/discovery/instances.h
@@ -1,5 +1,6 @@
-// The platform's list of workers: its pages read, and kept by zone. A zone's list is read by one owner at a
-// time, who holds a fencing token for it: what was read under an older token is not taken in. Pure.
+// The platform's list of workers: parses its pages and stores the list of each zone. A zone's list is read by
+// one owner at a time, which holds a fencing token for it; lists read under an older token are rejected. Free
+// of I/O.
 #pragma once
 
 #include "system/errors/error.h"
@@ -26,42 +27,43 @@
     std::string zone;
     std::size_t capacity = 1;
     InstanceState state = InstanceState::in_service;
-    Milliseconds cold_remaining{0}; // as of the reading
+    Milliseconds cold_remaining{0}; // remaining cold-start time at the reading
     bool operator==(const Instance&) const = default;
 };
 
 struct Page {
     std::vector<Instance> instances;
-    std::optional<std::string> next_token; // token of the next page
+    std::optional<std::string> next_token; // empty on the last page
 };
 
-// Instances that make no sense are left out; a page that cannot be read at all is an error.
+// Parses one page. Instances without an id, service or address are skipped; a malformed page is an error.
 errors::Result<Page> parse_page(const std::string& body);
 
-// Grows with each change of owner: by epoch, then by number within it.
+// Increases with each change of owner; ordered by epoch, then by number within the epoch.
 struct FencingToken {
     std::uint64_t epoch = 0;
     std::uint64_t number = 0;
     auto operator<=>(const FencingToken&) const = default;
 };
 
-// One zone's list as one owner read it.
+// The list of one zone as read by one owner.
 struct ZoneList {
     std::string zone;
     FencingToken token;
-    std::uint64_t serial = 0; // counts the owner's readings
+    std::uint64_t serial = 0; // number of the reading by this owner
     std::vector<Instance> instances;
 };
 
-// Whether two lists say the same, apart from cold times that just run down. `elapsed`: between the two
-// readings.
+// Whether two lists are equal apart from remaining cold times that have decreased with the passing of time.
+// `elapsed`: time between the two readings.
 bool same_content(const std::vector<Instance>& before, const std::vector<Instance>& after,
                   Milliseconds elapsed);
 
 // The newest list of each zone.
 class Catalogue {
   public:
-    // Says whether the list was taken in: not older than what is held, by token and serial.
+    // Stores the list if it is newer than the stored one of its zone, by token and then by serial. Returns
+    // whether it was stored.
     bool update(const ZoneList& list);
     const std::map<std::string, ZoneList>& zones() const { return zones_; }
 
--- a/src/system/errors/error.h
+++ b/src/system/errors/error.h
@@ -1,4 +1,4 @@
-// The closed list of error kinds of the whole system, and the one table from a kind to its HTTP answer. Pure.
+// All error kinds of the system, and the table that maps each kind to its HTTP answer.
 #pragma once
 
 #include <boost/outcome.hpp>
@@ -9,30 +9,30 @@
 namespace willowrill::errors {
 
 enum class ErrorKind {
-    malformed_request,      // the bytes are not HTTP, or a needed header is missing or out of range
-    request_too_large,      // head or body over the configured limits
-    request_timed_out,      // the client did not send its request in time; nothing has run
-    unknown_route,          // no route of the configuration in force matches
-    unknown_resource,       // no such path, or no such zone, at our own interfaces
-    method_not_allowed,     // at our own interfaces
-    invalid_configuration,  // unreadable, against the schema, or contradictory
-    version_conflict,       // If-Match names another version than the current one
-    outcome_forgotten,      // it may have been taken long ago; that is not remembered any more
-    state_too_large,        // members could not keep the state that it asks for
-    not_primary,            // this process cannot have the order decided; try another
-    undecided,              // the order was taken in but may or may not be in force
-    not_ready,              // no configuration is known yet
-    overloaded,             // no worker can take the request now; it has not run
-    worker_failed,          // the request may have run
-    deadline_passed_unsent, // the deadline passed and it has not run
-    deadline_passed,        // the deadline passed and it may have run
-    storage_failed,         // the disk did not take a record
-    upgrade_blocked,        // some process does not speak the version that the cluster is to have
-    unsupported_version,    // the two ends of a session speak no version of the protocol in common
-    bad_settings,           // the settings file cannot be used
+    malformed_request,      // not HTTP, or a required header is missing or out of range
+    request_too_large,      // head or body exceeds the configured limits
+    request_timed_out,      // the client did not send its request in time; nothing was executed
+    unknown_route,          // no route of the active configuration matches
+    unknown_resource,       // no such path or zone at the interfaces of the system itself
+    method_not_allowed,     // at the interfaces of the system itself
+    invalid_configuration,  // unreadable, in violation of the schema, or inconsistent
+    version_conflict,       // If-Match names a version other than the current one
+    outcome_forgotten,      // the order may have been accepted earlier; the record of it has been dropped
+    state_too_large,        // members could not store the resulting state
+    not_primary,            // this process cannot commit the order; another one may
+    undecided,              // the order was received; whether it takes effect is unknown
+    not_ready,              // no configuration has been received yet
+    overloaded,             // no worker can accept the request now; it was not executed
+    worker_failed,          // the request may have been executed
+    deadline_passed_unsent, // the deadline passed before the request was executed
+    deadline_passed,        // the deadline passed; the request may have been executed
+    storage_failed,         // a record could not be written to disk
+    upgrade_blocked,        // some process does not support the requested cluster version
+    unsupported_version,    // the two ends of a session have no protocol version in common
+    bad_settings,           // the settings file is unreadable or invalid
 };
 
-// The HTTP answer to a kind. `retry_after`: the client is told when to come back, as nothing has run.
+// The HTTP answer to an error. `retry_after`: nothing was executed, and the answer says when to retry.
 struct Answer {
     unsigned status;
     std::string_view reason;
@@ -87,7 +87,7 @@
     return {500, "unknown error", false};
 }
 
-// An error with a sentence for the operator.
+// An error with a description for the operator.
 struct Error {
     ErrorKind kind;
     std::string detail;
--- a/src/system/protocol/negotiation.cpp
+++ b/src/system/protocol/negotiation.cpp
@@ -12,19 +12,19 @@
 }
 
 errors::Result<Agreement> negotiate(const Greeting& own, const Greeting& peer) {
-    const Version lowest = std::max(own.versions.min, peer.versions.min);
-    const Version highest = std::min(own.versions.max, peer.versions.max);
-    if (highest < lowest)
+    const Version min_version = std::max(own.versions.min, peer.versions.min);
+    const Version max_version = std::min(own.versions.max, peer.versions.max);
+    if (max_version < min_version)
         return errors::Error{errors::ErrorKind::unsupported_version,
                              fmt::format("this process speaks protocol versions {}, the peer {}: {}",
                                          to_text(own.versions), to_text(peer.versions),
                                          peer.versions.max < own.versions.min
                                              ? "the peer's program is too old"
                                              : "this process's program is too old")};
-    Agreement out{highest, {}};
+    Agreement agreement{max_version, {}};
     std::ranges::set_intersection(own.features, peer.features,
-                                  std::inserter(out.features, out.features.begin()));
-    return out;
+                                  std::inserter(agreement.features, agreement.features.begin()));
+    return agreement;
 }
 
 std::string to_text(const VersionRange& versions) {
--- a/src/system/protocol/negotiation.h
+++ b/src/system/protocol/negotiation.h
@@ -1,4 +1,4 @@
-// How the two ends of a session settle on a version and on features. Pure; any thread.
+// Negotiation of the protocol version and the features of a session. Pure functions; thread-safe.
 #pragma once
 
 #include "system/errors/error.h"
@@ -8,32 +8,33 @@
 
 namespace willowrill::protocol {
 
-// What one end of a session says of itself. An end that names no range speaks one version and no features.
+// What one end of a session announces. An end that announces no range supports only `exact_version` and no
+// features.
 struct Greeting {
     VersionRange versions;
     FeatureSet features;
     bool operator==(const Greeting&) const = default;
 };
 
-// What holds for a session.
+// The negotiated version and features of a session.
 struct Agreement {
     Version version = exact_version;
-    FeatureSet features; // that both ends have
+    FeatureSet features; // supported by both ends
     bool operator==(const Agreement&) const = default;
 
     bool has(std::string_view feature) const { return features.contains(feature); }
-    // Whether a message of a kind that is not known ends the session, unless it is marked as optional.
+    // Whether a message of an unknown kind ends the session, unless the message is marked as optional.
     bool refuses_unknown_messages() const { return version >= negotiated_version; }
 };
 
-// What this process says in a cluster of this version.
+// The greeting of this process in a cluster of the given version.
 Greeting own_greeting(Version cluster_version, const FeatureSet& features = common_features());
 
-// The highest version that both speak, and the features that both have. An error of the kind
-// `unsupported_version`, whose sentence names both ranges, where there is none.
+// Returns the highest version and the features that both ends support. Fails with `unsupported_version`, with
+// both ranges in the detail, if there is no common version.
 errors::Result<Agreement> negotiate(const Greeting& own, const Greeting& peer);
 
-// "3 to 4", or "4" where the range is one version.
+// Formats a range as "3 to 4", or as "4" if it is a single version.
 std::string to_text(const VersionRange& versions);
 
 } // namespace willowrill::protocol
--- a/tests/system/discovery/read_plan_test.cpp
+++ b/tests/system/discovery/read_plan_test.cpp
@@ -1,4 +1,4 @@
-// How the lists of all zones are read with the fewest calls.
+// Selection of the strategy that reads the lists of all zones with the fewest calls.
 #include "system/discovery/read_plan.h"
 
 #include <criterion/criterion.h>
@@ -10,24 +10,24 @@
 
 namespace {
 
-ReadPlan with_zones(int zones, std::size_t each) {
-    ReadPlan out;
+ReadPlan with_zones(int zones, std::size_t instances_per_zone) {
+    ReadPlan plan;
     for (int i = 0; i < zones; ++i)
-        out.on_zone_read("z" + std::to_string(i), each);
-    return out;
+        plan.on_zone_read("z" + std::to_string(i), instances_per_zone);
+    return plan;
 }
 
 } // namespace
 
-Test(read_plan, before_anything_is_known_all_zones_are_asked_for_at_once) {
+Test(read_plan, without_known_sizes_all_zones_are_read_at_once) {
     cr_assert(ReadPlan().next(3) == Strategy::all_at_once);
-    cr_assert(ReadPlan().next(1) == Strategy::each_zone, "one zone alone is one call either way");
+    cr_assert(ReadPlan().next(1) == Strategy::each_zone, "a single zone takes one call either way");
 }
 
 Test(read_plan, short_lists_fit_in_fewer_pages_together) {
     ReadPlan plan = with_zones(6, 11);
     plan.on_full_page(50);
-    cr_assert(plan.next(6) == Strategy::all_at_once, "2 pages in place of 6");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "2 pages instead of 6");
 }
 
 Test(read_plan, long_lists_are_read_zone_by_zone) {
@@ -39,12 +39,12 @@
     cr_assert(longer.next(6) == Strategy::each_zone, "9 pages in a row would take too long");
 }
 
-Test(read_plan, a_page_size_that_changes_is_followed) {
+Test(read_plan, a_changed_page_size_is_taken_into_account) {
     ReadPlan plan = with_zones(6, 11);
     plan.on_full_page(10);
-    cr_assert(plan.next(6) == Strategy::all_at_once, "7 pages in place of 12");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "7 pages instead of 12");
     plan.on_full_page(0);
-    cr_assert(plan.next(6) == Strategy::all_at_once, "an empty page says nothing");
+    cr_assert(plan.next(6) == Strategy::all_at_once, "an empty page does not change the page size");
     plan.on_full_page(5);
     cr_assert(plan.next(6) == Strategy::each_zone);
 }
--- a/tests/system/errors/error_test.cpp
+++ b/tests/system/errors/error_test.cpp
@@ -1,4 +1,4 @@
-// The answer to each kind of error.
+// The HTTP answer to each kind of error.
 #include "system/errors/error.h"
 
 #include "support/expect.h"
@@ -7,18 +7,19 @@
 
 using namespace willowrill;
 
-Test(errors, every_kind_has_an_answer_that_says_whether_the_request_may_have_run) {
+Test(errors, every_kind_has_an_answer_that_tells_whether_the_request_may_have_been_executed) {
     using errors::ErrorKind;
     for (int kind = 0; kind <= static_cast<int>(ErrorKind::bad_settings); ++kind)
         expect_other_text(errors::answer_to(static_cast<ErrorKind>(kind)).reason.data(), "unknown error");
-    // A 429, 503, 408 or 421 promises that nothing has run.
-    for (const ErrorKind ran : {ErrorKind::worker_failed, ErrorKind::deadline_passed, ErrorKind::undecided}) {
-        const unsigned status = errors::answer_to(ran).status;
+    // The status codes 429, 503, 408 and 421 guarantee that the request was not executed.
+    for (const ErrorKind possibly_executed :
+         {ErrorKind::worker_failed, ErrorKind::deadline_passed, ErrorKind::undecided}) {
+        const unsigned status = errors::answer_to(possibly_executed).status;
         cr_assert(status == 502 || status == 504);
     }
-    for (const ErrorKind unsent :
+    for (const ErrorKind not_executed :
          {ErrorKind::overloaded, ErrorKind::deadline_passed_unsent, ErrorKind::not_ready}) {
-        cr_assert_eq(errors::answer_to(unsent).status, 503U);
-        cr_assert(errors::answer_to(unsent).retry_after);
+        cr_assert_eq(errors::answer_to(not_executed).status, 503U);
+        cr_assert(errors::answer_to(not_executed).retry_after);
     }
 }
--- a/tests/system/protocol/negotiation_test.cpp
+++ b/tests/system/protocol/negotiation_test.cpp
@@ -1,4 +1,4 @@
-// On which version and features two ends of a session settle.
+// Negotiation of the version and the features of a session.
 #include "system/protocol/negotiation.h"
 
 #include "support/expect.h"
@@ -8,19 +8,19 @@
 using namespace willowrill;
 using namespace willowrill::protocol;
 
-Test(negotiation, the_highest_common_version_is_spoken) {
+Test(negotiation, the_highest_common_version_is_used) {
     cr_assert_eq(negotiate({{3, 5}, {}}, {{4, 9}, {}}).value().version, 5);
     cr_assert_eq(negotiate({{4, 9}, {}}, {{3, 5}, {}}).value().version, 5);
     cr_assert_eq(negotiate({{3, 4}, {}}, {{3, 3}, {}}).value().version, 3);
 }
 
-Test(negotiation, features_are_those_that_both_have) {
+Test(negotiation, features_are_those_that_both_ends_support) {
     const Agreement agreement = negotiate({{3, 4}, {"a", "b"}}, {{3, 4}, {"b", "c"}}).value();
     cr_assert(agreement.has("b"));
     cr_assert_not(agreement.has("a") || agreement.has("c"));
 }
 
-Test(negotiation, ranges_that_do_not_meet_are_refused_by_name) {
+Test(negotiation, disjoint_ranges_are_refused_with_a_reason) {
     const auto old_peer = negotiate({{4, 5}, {}}, {{3, 3}, {}});
     cr_assert(old_peer.error().kind == errors::ErrorKind::unsupported_version);
     expect_text(old_peer.error().detail,
@@ -31,27 +31,28 @@
         "this process speaks protocol versions 3, the peer 4 to 5: this process's program is too old");
 }
 
-// Whoever speaks with both, the two ends come to the same.
-Test(negotiation, both_ends_settle_alike) {
+// Both ends reach the same agreement for every pair of ranges.
+Test(negotiation, both_ends_reach_the_same_agreement) {
     for (Version min = 1; min < 5; ++min)
         for (Version max = min; max < 6; ++max)
             for (Version other_min = 1; other_min < 5; ++other_min)
                 for (Version other_max = other_min; other_max < 6; ++other_max) {
-                    const Greeting one{{min, max}, {"x"}}, other{{other_min, other_max}, {"x"}};
-                    const auto here = negotiate(one, other), there = negotiate(other, one);
-                    cr_assert_eq(static_cast<bool>(here), static_cast<bool>(there));
-                    if (here) cr_assert(here.value() == there.value());
+                    const Greeting first{{min, max}, {"x"}}, second{{other_min, other_max}, {"x"}};
+                    const auto first_result = negotiate(first, second),
+                               second_result = negotiate(second, first);
+                    cr_assert_eq(static_cast<bool>(first_result), static_cast<bool>(second_result));
+                    if (first_result) cr_assert(first_result.value() == second_result.value());
                 }
 }
 
-Test(negotiation, a_cluster_version_raises_what_is_spoken_at_least) {
+Test(negotiation, a_cluster_version_raises_the_lowest_version_in_use) {
     cr_assert(own_greeting(initial_cluster_version).versions == supported_versions);
     cr_assert(own_greeting(negotiated_version).versions ==
               (VersionRange{negotiated_version, supported_versions.max}));
     cr_assert_not(static_cast<bool>(negotiate(own_greeting(negotiated_version), Greeting{})));
 }
 
-Test(negotiation, core_members_announce_more_than_schedulers) {
+Test(negotiation, core_members_announce_more_features_than_schedulers) {
     const Greeting core = own_greeting(initial_cluster_version, supported_features());
     const Greeting scheduler = own_greeting(initial_cluster_version);
     cr_assert(negotiate(core, core).value().has(state_delta_feature));
@@ -60,7 +61,7 @@
     cr_assert(negotiate(core, scheduler).value().has(cluster_version_feature));
 }
 
-Test(negotiation, sessions_of_one_named_version_skip_what_they_do_not_know) {
+Test(negotiation, sessions_without_a_version_range_skip_unknown_messages) {
     cr_assert_not(
         negotiate(own_greeting(initial_cluster_version), Greeting{}).value().refuses_unknown_messages());
     const Greeting own = own_greeting(initial_cluster_version);
