--- a/src/system/configuration/configuration.h
+++ b/src/system/configuration/configuration.h
@@ -17,7 +17,7 @@
 using Version = std::uint64_t;
 using Milliseconds = std::chrono::milliseconds;
 
-// Whether a request can be executed a second time: always, never, or as a stream that may be resumed.
+// Whether a request can be executed a second time: always, never, or only if its stream is resumable.
 enum class RouteClass { safe, non_idempotent, streaming };
 
 struct WeightedService {
@@ -43,7 +43,7 @@
 
     bool operator==(const Route&) const = default;
 
-    // Whether a request may be executed more than once without side effects for the client.
+    // Whether executing a request more than once is harmless.
     bool repeatable() const {
         return route_class == RouteClass::safe || (route_class == RouteClass::streaming && resumable);
     }
--- a/src/system/discovery/read_plan.cpp
+++ b/src/system/discovery/read_plan.cpp
@@ -20,7 +20,7 @@
         per_zone_calls += page_count(instances);
         total_instances += instances;
     }
-    per_zone_calls = std::max(per_zone_calls, zones); // one call for each zone that has not been read yet
+    per_zone_calls = std::max(per_zone_calls, zones); // some zones may not have been read yet
     const std::size_t combined_calls = page_count(total_instances);
     const bool use_combined_read = combined_calls < per_zone_calls && combined_calls <= max_pages_at_once;
     return use_combined_read ? Strategy::all_at_once : Strategy::each_zone;
