--- a/src/system/control/connection_acceptor.cpp
+++ b/src/system/control/connection_acceptor.cpp
@@ -49,7 +49,7 @@
         count_unknown_fields(PeerKind::scheduler, document);
         const auto message = messages::decode_scheduler_message(document);
         if (const auto* unknown = std::get_if<messages::UnknownMessage>(&message))
-            return on_unknown(connection, peer, PeerKind::scheduler, *unknown);
+            return handle_unknown_message(connection, peer, PeerKind::scheduler, *unknown);
         return handler_.on_scheduler_message(*session, message);
     }
     if (const auto* member = std::get_if<MemberId>(&peer.identity)) {
@@ -67,24 +67,25 @@
 void ConnectionAcceptor::on_core_message(const transport::FrameConnectionPtr& connection, Peer& peer,
                                          const MemberId& from, const messages::CoreMessage& message) {
     if (const auto* unknown = std::get_if<messages::UnknownMessage>(&message))
-        return on_unknown(connection, peer, PeerKind::core_member, *unknown);
+        return handle_unknown_message(connection, peer, PeerKind::core_member, *unknown);
     if (const auto* delta = std::get_if<messages::ReplicationDelta>(&message))
         return on_replication_delta(peer, from, *delta);
     if (const auto* envelope = std::get_if<messages::ReplicationEnvelope>(&message))
-        peer.states.on_message(envelope->message);
+        peer.state_delta_receiver.on_message(envelope->message);
     handler_.on_core_message(from, message);
 }
 
 void ConnectionAcceptor::on_replication_delta(Peer& peer, const MemberId& from,
                                               const messages::ReplicationDelta& delta) {
-    if (const auto whole = peer.states.apply(delta))
-        return handler_.on_core_message(from, messages::ReplicationEnvelope{*whole});
+    if (const auto complete_message = peer.state_delta_receiver.apply(delta))
+        return handler_.on_core_message(from, messages::ReplicationEnvelope{*complete_message});
     logging::warning("state-base-missing").field("peer", peer.name).field("epoch", delta.base.epoch);
     handler_.on_missing_state_base(from);
 }
 
-void ConnectionAcceptor::on_unknown(const transport::FrameConnectionPtr& connection, const Peer& peer,
-                                    PeerKind kind, const messages::UnknownMessage& message) {
+void ConnectionAcceptor::handle_unknown_message(const transport::FrameConnectionPtr& connection,
+                                                const Peer& peer, PeerKind kind,
+                                                const messages::UnknownMessage& message) {
     handler_.on_unknown_message(kind);
     if (message.optional || !peer.agreement.refuses_unknown_messages()) return;
     logging::error("peer-message-unknown").field("peer", peer.name).field("message", message.type);
@@ -123,7 +124,7 @@
         peer.identity = handler_.on_scheduler(connection);
 }
 
-void ConnectionAcceptor::refuse_outdated() {
+void ConnectionAcceptor::refuse_incompatible_peers() {
     const protocol::Greeting own = handler_.greeting();
     for (const auto& [connection, peer] : identified_) {
         const auto agreement = protocol::negotiate(own, peer->greeting);
--- a/src/system/control/connection_acceptor.h
+++ b/src/system/control/connection_acceptor.h
@@ -60,7 +60,7 @@
 
     // Refuses the peers with which no version is had in common any more, as this process's greeting has
     // changed.
-    void refuse_outdated();
+    void refuse_incompatible_peers();
 
   private:
     // Whose a connection is: nobody's yet, a core member's or a scheduler's.
@@ -70,7 +70,7 @@
         std::string name; // for the log
         protocol::Greeting greeting;
         protocol::Agreement agreement;
-        messages::StateDeltaReceiver states; // of a core member
+        messages::StateDeltaReceiver state_delta_receiver; // of a core member
     };
 
     void accept(const transport::FrameConnectionPtr& connection);
@@ -85,8 +85,8 @@
                   const nlohmann::json& document);
     void refuse(const transport::FrameConnectionPtr& connection, const Peer& peer, PeerKind kind,
                 const errors::Error& error);
-    void on_unknown(const transport::FrameConnectionPtr& connection, const Peer& peer, PeerKind kind,
-                    const messages::UnknownMessage& message);
+    void handle_unknown_message(const transport::FrameConnectionPtr& connection, const Peer& peer,
+                                PeerKind kind, const messages::UnknownMessage& message);
 
     Handler& handler_;
     std::set<transport::FrameConnectionPtr> unidentified_;                      // at most `max_unidentified`
--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds lease_publish_period{700};
 constexpr std::chrono::milliseconds announcement_period = 8 * lease_publish_period;
 // A shutdown takes at least so long, so that schedulers hear of it.
-constexpr std::chrono::milliseconds min_shutdown{900};
+constexpr std::chrono::milliseconds min_shutdown_duration{900};
 // The process ends so long before the platform would end it.
 constexpr std::chrono::milliseconds grace_margin{1000};
 
@@ -25,10 +25,10 @@
 }
 
 std::set<std::string> zones_of(const settings::Settings& settings) {
-    std::set<std::string> out;
+    std::set<std::string> result;
     for (const auto& [zone, region] : settings.regions)
-        out.insert(zone);
-    return out;
+        result.insert(zone);
+    return result;
 }
 
 } // namespace
@@ -42,7 +42,7 @@
              [this](const replication::Position& position, const configuration::ControlState& state) {
                  on_state(position, state);
              },
-             [this] { assign_lists(); }, // schedulers that start wait for the list
+             [this] { assign_zones(); }, // schedulers that start wait for the list
              [this](protocol::Version version) { raise_cluster_version(version); }}),
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
       sessions_(session_callbacks()),
@@ -51,9 +51,9 @@
           {[this](const messages::LeasesMessage& message) { mesh_.broadcast(message); },
            [this](const MemberId& to, const messages::LeasesMessage& message) { mesh_.send(to, message); },
            [this](const std::vector<membership::Lease>& leases) { sessions_.publish_members(leases); }}),
-      lists_(loop, settings_, metrics_,
-             {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
-              [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
+      endpoint_lists_(loop, settings_, metrics_,
+                      {[this](const messages::EndpointListMessage& message) { mesh_.broadcast(message); },
+                       [this](const discovery::ZoneList& list) { sessions_.publish_zone(list); }}),
       timer_(loop), schedule_(tick_period),
       acceptor_(loop, settings_.address, settings_.first_internal_port, *this),
       operator_api_(node_, self_, zones_of(settings_), metrics_, [this] { return upgrade_status(); }),
@@ -61,7 +61,7 @@
                       [this](const http_server::Request& request, const http_server::Respond& respond) {
                           operator_api_.on_request(request, respond);
                       }),
-      metrics_server_(loop, settings_.address, metrics_port, metrics_, [this] { refresh_levels(); }) {
+      metrics_server_(loop, settings_.address, metrics_port, metrics_, [this] { refresh_gauges(); }) {
     if (settings_.directory.port != 0)
         directory_.emplace(loop, settings_.directory, [this] { return leases_.leases(); });
     member_locations_[self_] = {self_, settings_.zone, settings_.region};
@@ -69,7 +69,7 @@
     tick();
 }
 
-std::function<void(std::size_t)> ControlPlane::counter(const char* kind, metrics::Crossing crossing) {
+std::function<void(std::size_t)> ControlPlane::traffic_counter(const char* kind, metrics::Crossing crossing) {
     return [this, kind, crossing](std::size_t bytes) {
         metrics_.add(metrics::Total::internal_bytes, kind, metrics::name_of(crossing),
                      static_cast<double>(bytes));
@@ -77,7 +77,7 @@
     };
 }
 
-void ControlPlane::refresh_levels() {
+void ControlPlane::refresh_gauges() {
     metrics_.set(metrics::Level::sessions, static_cast<double>(sessions_.session_count()));
     metrics_.set(metrics::Level::is_primary, node_.is_primary() ? 1 : 0);
     metrics_.set(metrics::Level::epoch, static_cast<double>(node_.witness_register().decided.epoch));
@@ -92,8 +92,8 @@
     if (version <= cluster_version_) return;
     cluster_version_ = version;
     logging::info("cluster-version").field("member", self_).field("version", version);
-    acceptor_.refuse_outdated();
-    mesh_.drop_outdated();
+    acceptor_.refuse_incompatible_peers();
+    mesh_.drop_incompatible_peers();
 }
 
 UpgradeStatus ControlPlane::upgrade_status() const {
@@ -125,10 +125,10 @@
         [this](const MemberId& member) { node_.feed(replication::PeerDisconnected{member}); },
         [this](const MemberId& member) {
             const auto location = member_locations_.find(member);
-            const bool known = location != member_locations_.end();
-            return counter("core", metrics::crossing(settings_.zone, settings_.region,
-                                                     known ? location->second.zone : "",
-                                                     known ? location->second.region : ""));
+            const bool is_known = location != member_locations_.end();
+            return traffic_counter("core", metrics::crossing(settings_.zone, settings_.region,
+                                                             is_known ? location->second.zone : "",
+                                                             is_known ? location->second.region : ""));
         },
         [this] { return greeting(); },
         [this](const MemberId&) { metrics_.add(metrics::Total::refused_sessions, "core", "peer"); },
@@ -139,40 +139,40 @@
 distribution::SchedulerSessions::Callbacks ControlPlane::session_callbacks() {
     using distribution::SessionId;
     return {[this](SessionId id, const transport::Frame& frame) {
-                if (const auto found = schedulers_.find(id); found != schedulers_.end())
+                if (const auto found = scheduler_connections_.find(id); found != scheduler_connections_.end())
                     found->second->send_frame(frame);
             },
             [this](SessionId id) {
-                if (const auto found = schedulers_.find(id); found != schedulers_.end())
+                if (const auto found = scheduler_connections_.find(id); found != scheduler_connections_.end())
                     found->second->close();
             },
-            [this] { return node_.current(); },
-            [this] { return reached_members(); },
+            [this] { return node_.is_current(); },
+            [this] { return reachable_members(); },
             [this](const membership::Lease& lease) { leases_.on_renewed(steady_now(), lease); },
             [this](const membership::Lease& lease) { leases_.on_disconnected(lease); }};
 }
 
-std::vector<MemberId> ControlPlane::reached() const {
-    auto out = mesh_.connected();
-    out.push_back(self_);
-    return out;
+std::vector<MemberId> ControlPlane::reachable_member_ids() const {
+    auto result = mesh_.connected();
+    result.push_back(self_);
+    return result;
 }
 
-std::vector<messages::CoreMember> ControlPlane::reached_members() const {
-    std::vector<messages::CoreMember> out;
-    for (const MemberId& id : reached()) {
+std::vector<messages::CoreMember> ControlPlane::reachable_members() const {
+    std::vector<messages::CoreMember> result;
+    for (const MemberId& id : reachable_member_ids()) {
         const auto location = member_locations_.find(id);
-        out.push_back(location == member_locations_.end() ? messages::CoreMember{id, "", ""}
-                                                          : location->second);
+        result.push_back(location == member_locations_.end() ? messages::CoreMember{id, "", ""}
+                                                             : location->second);
     }
-    return out;
+    return result;
 }
 
 void ControlPlane::discover_peers() {
     for (const settings::Endpoint& seed : settings_.seeds)
         mesh_.add_peer(settings::to_text(seed));
-    const replication::WitnessRegister& known = node_.witness_register();
-    for (const auto* record : {&known.accepted, &known.decided}) {
+    const replication::WitnessRegister& witness_register = node_.witness_register();
+    for (const auto* record : {&witness_register.accepted, &witness_register.decided}) {
         for (const MemberId& id : record->witnesses)
             mesh_.add_peer(id);
         for (const MemberId& id : record->in_sync)
@@ -181,31 +181,31 @@
 }
 
 void ControlPlane::reload_settings() {
-    auto again = settings::load(settings_path_);
-    if (!again) {
-        logging::warning("settings-unreadable").text("detail", again.error().detail);
+    auto reloaded = settings::load(settings_path_);
+    if (!reloaded) {
+        logging::warning("settings-unreadable").text("detail", reloaded.error().detail);
         return;
     }
-    settings_.seeds = again.value().seeds;
+    settings_.seeds = reloaded.value().seeds;
     discover_peers();
 }
 
 void ControlPlane::tick() {
     schedule_.advance();
     node_.tick();
-    lists_.tick();
+    endpoint_lists_.tick();
     leases_.expire(steady_now());
     sessions_.flush();
     if (schedule_.is_due(dial_period)) {
         discover_peers();
-        mesh_.maintain();
+        mesh_.dial_disconnected_peers();
     }
     if (schedule_.is_due(lease_publish_period)) {
         leases_.publish();
         announce_peers();
     }
-    if (schedule_.is_due(assignment_period)) assign_lists();
-    end_if_possible();
+    if (schedule_.is_due(assignment_period)) assign_zones();
+    exit_if_possible();
     timer_.expires_after(tick_period);
     timer_.async_wait([this](ErrorCode error) {
         if (!error) tick();
@@ -220,9 +220,9 @@
     announced_peers_ = std::move(connected);
 }
 
-void ControlPlane::assign_lists() {
-    if (!node_.is_primary()) return lists_.stop_assigning();
-    lists_.assign(node_.witness_register().decided.epoch, reached());
+void ControlPlane::assign_zones() {
+    if (!node_.is_primary()) return endpoint_lists_.stop_assigning();
+    endpoint_lists_.assign(node_.witness_register().decided.epoch, reachable_member_ids());
 }
 
 void ControlPlane::on_state(const replication::Position& position, const configuration::ControlState& state) {
@@ -238,12 +238,12 @@
     node_.feed(replication::BeginShutdown{});
 }
 
-void ControlPlane::end_if_possible() {
+void ControlPlane::exit_if_possible() {
     if (!shutdown_began_) return;
-    const auto since = Clock::now() - *shutdown_began_;
-    const bool done = since >= min_shutdown && node_.may_end();
-    if (!done && since < settings_.timers.grace - grace_margin) return;
-    logging::info("ended").field("member", self_).field("others_do_without", done);
+    const auto elapsed = Clock::now() - *shutdown_began_;
+    const bool can_exit = elapsed >= min_shutdown_duration && node_.can_exit();
+    if (!can_exit && elapsed < settings_.timers.grace - grace_margin) return;
+    logging::info("ended").field("member", self_).field("others_do_without", can_exit);
     loop_.stop();
 }
 
@@ -257,8 +257,8 @@
 
 distribution::SessionId ControlPlane::on_scheduler(const transport::FrameConnectionPtr& connection) {
     const distribution::SessionId id = ++last_session_;
-    schedulers_[id] = connection;
-    connection->observe_sent_frames(counter("scheduler", metrics::Crossing::unknown));
+    scheduler_connections_[id] = connection;
+    connection->observe_sent_frames(traffic_counter("scheduler", metrics::Crossing::unknown));
     sessions_.add_session(id);
     return id;
 }
@@ -270,13 +270,13 @@
 
 void ControlPlane::on_scheduler_closed(distribution::SessionId id) {
     sessions_.on_closed(id);
-    schedulers_.erase(id);
+    scheduler_connections_.erase(id);
 }
 
 void ControlPlane::on_peer_connected(const MemberId& member) {
     node_.feed(replication::PeerConnected{member});
     leases_.on_connected(member);
-    for (const messages::ZoneListUpdate& update : lists_.zone_list_updates())
+    for (const messages::ZoneListUpdate& update : endpoint_lists_.zone_list_updates())
         mesh_.send(member, messages::EndpointListMessage{update});
 }
 
@@ -307,7 +307,7 @@
 }
 
 void ControlPlane::on(const MemberId& /*from*/, const messages::EndpointListMessage& message) {
-    lists_.on_message(message);
+    endpoint_lists_.on_message(message);
 }
 
 } // namespace willowrill::control
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -40,12 +40,12 @@
     using Clock = std::chrono::steady_clock;
 
     void tick();
-    void assign_lists();
+    void assign_zones();
     void announce_peers();
-    void end_if_possible();
+    void exit_if_possible();
     void discover_peers();
-    std::vector<MemberId> reached() const;
-    std::vector<messages::CoreMember> reached_members() const;
+    std::vector<MemberId> reachable_member_ids() const;
+    std::vector<messages::CoreMember> reachable_members() const;
 
     // ConnectionAcceptor::Handler
     bool on_core_member(const messages::CoreMember& member) override;
@@ -75,8 +75,8 @@
     CoreMesh::Callbacks mesh_callbacks();
     distribution::SchedulerSessions::Callbacks session_callbacks();
 
-    std::function<void(std::size_t)> counter(const char* kind, metrics::Crossing crossing);
-    void refresh_levels();
+    std::function<void(std::size_t)> traffic_counter(const char* kind, metrics::Crossing crossing);
+    void refresh_gauges();
 
     asio::io_context& loop_;
     metrics::Metrics metrics_;
@@ -89,11 +89,11 @@
     CoreMesh mesh_;
     distribution::SchedulerSessions sessions_;
     std::map<MemberId, messages::CoreMember> member_locations_; // as members said of themselves
-    std::map<distribution::SessionId, transport::FrameConnectionPtr> schedulers_;
+    std::map<distribution::SessionId, transport::FrameConnectionPtr> scheduler_connections_;
     distribution::SessionId last_session_ = 0;
     LeaseReplicator leases_;
     std::vector<MemberId> announced_peers_;
-    EndpointListService lists_;
+    EndpointListService endpoint_lists_;
     SteadyTimer timer_;
     transport::TickSchedule schedule_;
     std::optional<Clock::time_point> shutdown_began_;
--- a/src/system/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -14,7 +14,7 @@
 // Short, as a dial into a cut hangs long after the cut has healed.
 constexpr std::chrono::milliseconds dial_timeout{250};
 // A member that refused a session is dialled again after so long.
-constexpr std::chrono::milliseconds refusal_pause{2000};
+constexpr std::chrono::milliseconds refusal_backoff{2000};
 
 } // namespace
 
@@ -31,7 +31,7 @@
     return true;
 }
 
-void CoreMesh::maintain() {
+void CoreMesh::dial_disconnected_peers() {
     const std::chrono::milliseconds now = steady_now();
     for (const auto& [member, link] : links_)
         if (!link.connection && !link.dialling && now >= link.refused_until) dial(member);
@@ -52,15 +52,15 @@
     link.connection = connection;
     link.greeting = {};
     link.agreement = {};
-    link.states = {};
-    connection->observe_sent_frames(callbacks_.counter(member));
+    link.state_delta_sender = {};
+    connection->observe_sent_frames(callbacks_.traffic_counter(member));
     connection->start(
         [this, member](const nlohmann::json& document) {
             on_reply(member, messages::decode_dial_reply(document));
         },
         [this, member] {
             links_[member].connection = nullptr;
-            callbacks_.lost(member);
+            callbacks_.disconnected(member);
         });
     connection->send(messages::encode(messages::CoreHello{self_, callbacks_.greeting()}));
     callbacks_.connected(member);
@@ -78,18 +78,18 @@
     callbacks_.refused(member);
     if (refusal_log_.is_due(steady_now(), member))
         logging::warning("refused-by-peer").field("peer", member).text("detail", refusal->detail);
-    link.refused_until = steady_now() + refusal_pause;
+    link.refused_until = steady_now() + refusal_backoff;
     if (link.connection) link.connection->close();
 }
 
 std::map<MemberId, protocol::Greeting> CoreMesh::greetings() const {
-    std::map<MemberId, protocol::Greeting> out;
+    std::map<MemberId, protocol::Greeting> result;
     for (const auto& [member, link] : links_)
-        if (link.connection) out[member] = link.greeting;
-    return out;
+        if (link.connection) result[member] = link.greeting;
+    return result;
 }
 
-void CoreMesh::drop_outdated() {
+void CoreMesh::drop_incompatible_peers() {
     const protocol::Greeting own = callbacks_.greeting();
     for (const auto& [member, link] : links_)
         if (link.connection && !protocol::negotiate(own, link.greeting)) link.connection->close();
@@ -100,52 +100,52 @@
     return found != links_.end() && found->second.connection ? &found->second : nullptr;
 }
 
-bool CoreMesh::is_understood(const Link& link, const messages::CoreMessage& message) const {
+bool CoreMesh::can_send(const Link& link, const messages::CoreMessage& message) const {
     const auto feature = messages::required_feature(message);
     if (!feature || link.agreement.has(*feature)) return true;
-    callbacks_.held_back();
+    callbacks_.message_held_back();
     return false;
 }
 
 void CoreMesh::send(const MemberId& to, const messages::CoreMessage& message) {
     const Link* link = connected_link(to);
-    if (link != nullptr && is_understood(*link, message)) link->connection->send(messages::encode(message));
+    if (link != nullptr && can_send(*link, message)) link->connection->send(messages::encode(message));
 }
 
 void CoreMesh::send(const MemberId& to, const replication::Message& message) {
     Link* link = connected_link(to);
     if (link == nullptr) return;
-    const bool understands_deltas = link->agreement.has(protocol::state_delta_feature);
-    send_state(*link, link->states.prepare(message, understands_deltas));
+    const bool supports_deltas = link->agreement.has(protocol::state_delta_feature);
+    send_state(*link, link->state_delta_sender.prepare(message, supports_deltas));
 }
 
 void CoreMesh::send_state(const Link& link, const messages::CoreMessage& message) const {
-    const auto* whole = std::get_if<messages::ReplicationEnvelope>(&message);
-    if (whole == nullptr || replication::state_in(whole->message) != nullptr)
-        callbacks_.state_sent(whole == nullptr);
+    const auto* envelope = std::get_if<messages::ReplicationEnvelope>(&message);
+    if (envelope == nullptr || replication::state_in(envelope->message) != nullptr)
+        callbacks_.state_sent(envelope == nullptr);
     link.connection->send(messages::encode(message));
 }
 
 void CoreMesh::on_state_snapshot_request(const MemberId& from) {
     const Link* link = connected_link(from);
     if (link == nullptr) return;
-    if (const auto message = link->states.on_snapshot_request()) send_state(*link, *message);
+    if (const auto message = link->state_delta_sender.on_snapshot_request()) send_state(*link, *message);
 }
 
 void CoreMesh::broadcast(const messages::CoreMessage& message) {
     transport::Frame frame;
     for (const auto& [member, link] : links_) {
-        if (!link.connection || !is_understood(link, message)) continue;
+        if (!link.connection || !can_send(link, message)) continue;
         if (!frame) frame = messages::frame_of(message);
         link.connection->send_frame(frame);
     }
 }
 
 std::vector<MemberId> CoreMesh::connected() const {
-    std::vector<MemberId> out;
+    std::vector<MemberId> result;
     for (const auto& [member, link] : links_)
-        if (link.connection) out.push_back(member);
-    return out;
+        if (link.connection) result.push_back(member);
+    return result;
 }
 
 } // namespace willowrill::control
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -24,15 +24,15 @@
   public:
     struct Callbacks {
         std::function<void(const MemberId&)> connected;
-        std::function<void(const MemberId&)> lost;
+        std::function<void(const MemberId&)> disconnected;
         // What counts the bytes that go to a member.
-        std::function<std::function<void(std::size_t)>(const MemberId&)> counter;
+        std::function<std::function<void(std::size_t)>(const MemberId&)> traffic_counter;
         // What this process says of itself now.
         std::function<protocol::Greeting()> greeting;
         // A member has refused a session, as no version is had in common.
         std::function<void(const MemberId&)> refused;
         // A message was not sent, as its receiver has not announced the feature that it needs.
-        std::function<void()> held_back;
+        std::function<void()> message_held_back;
         // A replicated state went out, whole or as a delta.
         std::function<void(bool as_delta)> state_sent;
     };
@@ -46,7 +46,7 @@
     // there are too many.
     bool add_peer(const MemberId& member);
     // Dials the peers that it is not connected to; to be called often.
-    void maintain();
+    void dial_disconnected_peers();
     // A message to a peer that is not connected is dropped, and so is one that needs a feature which the peer
     // has not announced on this connection.
     void send(const MemberId& to, const messages::CoreMessage& message);
@@ -60,16 +60,16 @@
     // named no range.
     std::map<MemberId, protocol::Greeting> greetings() const;
     // Ends the connections to members with which no version is had in common any more.
-    void drop_outdated();
+    void drop_incompatible_peers();
 
   private:
     struct Link {
         transport::FrameConnectionPtr connection;
         bool dialling = false;
-        protocol::Greeting greeting;                // on this connection; as announced, if it was
-        protocol::Agreement agreement;              // on it; before the reply, of the lowest version
-        messages::StateDeltaSender states;          // sent on it
-        std::chrono::milliseconds refused_until{0}; // steady; is not dialled before
+        protocol::Greeting greeting;                   // on this connection; as announced, if it was
+        protocol::Agreement agreement;                 // on it; before the reply, of the lowest version
+        messages::StateDeltaSender state_delta_sender; // sent on it
+        std::chrono::milliseconds refused_until{0};    // steady; is not dialled before
     };
     void dial(const MemberId& member);
     void on_connected(const MemberId& member, const transport::FrameConnectionPtr& connection);
@@ -77,7 +77,7 @@
     // Null where the member is not connected.
     Link* connected_link(const MemberId& member);
     // Whether the message may be sent to this peer.
-    bool is_understood(const Link& link, const messages::CoreMessage& message) const;
+    bool can_send(const Link& link, const messages::CoreMessage& message) const;
     void send_state(const Link& link, const messages::CoreMessage& message) const;
 
     asio::io_context& loop_;
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -13,14 +13,14 @@
 namespace {
 
 replication::Options options_of(const settings::Settings& settings) {
-    replication::Options out;
-    out.self = settings::to_text(settings.control);
-    out.initial_start = settings.initial_start;
+    replication::Options options;
+    options.self = settings::to_text(settings.control);
+    options.initial_start = settings.initial_start;
     for (const settings::Endpoint& seed : settings.seeds)
-        out.seeds.push_back(settings::to_text(seed));
-    out.tolerated_losses = settings.tolerated_members;
-    out.random_seed = identity::random_identity() ^ std::hash<std::string>()(settings.node_name);
-    return out;
+        options.seeds.push_back(settings::to_text(seed));
+    options.tolerated_losses = settings.tolerated_members;
+    options.random_seed = identity::random_identity() ^ std::hash<std::string>()(settings.node_name);
+    return options;
 }
 
 } // namespace
@@ -47,19 +47,19 @@
         std::vector<replication::Action> actions;
         replica_.step(steady_now(), next, actions);
         for (const replication::Action& action : actions)
-            carry_out(action);
+            execute(action);
     }
     feeding_ = false;
     log_role();
 }
 
-void CoreNode::carry_out(const replication::Action& action) {
+void CoreNode::execute(const replication::Action& action) {
     if (const auto* send = std::get_if<replication::Send>(&action))
         return callbacks_.send(send->to, send->message);
     if (const auto* save = std::get_if<replication::Save>(&action)) return store_.save(*save);
     if (const auto* committed = std::get_if<replication::Committed>(&action)) return orders_.on(*committed);
-    if (const auto* undecided = std::get_if<replication::OutcomeUnknown>(&action))
-        return orders_.on(*undecided);
+    if (const auto* unknown_outcome = std::get_if<replication::OutcomeUnknown>(&action))
+        return orders_.on(*unknown_outcome);
     if (const auto* confirmed = std::get_if<replication::LeadershipConfirmed>(&action))
         return orders_.on(*confirmed);
     on_state_changed();
@@ -80,7 +80,7 @@
     const replication::Role role = replica_.role();
     const replication::EpochRecord& record = replica_.witness_register().decided;
     if (role == last_role_ && record.epoch == last_epoch_) return;
-    const bool rose = role == replication::Role::primary && role != last_role_;
+    const bool became_primary = role == replication::Role::primary && role != last_role_;
     last_role_ = role;
     last_epoch_ = record.epoch;
     logging::info("role")
@@ -91,7 +91,7 @@
         .field("primary", record.primary)
         .field("in_sync", fmt::format("{}", fmt::join(record.in_sync, ",")))
         .field("witnesses", fmt::format("{}", fmt::join(record.witnesses, ",")));
-    if (rose) callbacks_.on_primary();
+    if (became_primary) callbacks_.on_primary();
 }
 
 } // namespace willowrill::control
--- a/src/system/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -33,13 +33,13 @@
     bool is_primary() const { return replica_.is_primary(); }
     std::optional<MemberId> primary() const { return replica_.primary(); }
     // Whether a quorum vouched a moment ago for the state that is held here.
-    bool current() const { return replica_.is_current(steady_now()); }
-    bool may_end() const { return replica_.is_safe_to_shut_down(steady_now()); }
+    bool is_current() const { return replica_.is_current(steady_now()); }
+    bool can_exit() const { return replica_.is_safe_to_shut_down(steady_now()); }
     const replication::WitnessRegister& witness_register() const { return replica_.witness_register(); }
 
   private:
     void on_store_event(replication::Event event);
-    void carry_out(const replication::Action& action);
+    void execute(const replication::Action& action);
     void on_state_changed();
     void log_role();
 
--- a/src/system/control/directory.cpp
+++ b/src/system/control/directory.cpp
@@ -13,16 +13,16 @@
 
 std::vector<std::string> resolve(const std::vector<membership::Lease>& leases, const std::string& region,
                                  const std::string& zone) {
-    std::vector<std::string> out;
-    for (int wanted = 0; wanted <= 2; ++wanted) {
-        if (out.size() >= enough_in_zone) break;
+    std::vector<std::string> addresses;
+    for (int wanted_distance = 0; wanted_distance <= 2; ++wanted_distance) {
+        if (addresses.size() >= min_nearby_addresses) break;
         for (const membership::Lease& lease : leases) {
-            const bool fits =
-                lease.phase == membership::Phase::ready && distance(lease, region, zone) == wanted;
-            if (fits && out.size() < max_addresses) out.push_back(lease.client_address);
+            const bool is_match =
+                lease.phase == membership::Phase::ready && distance(lease, region, zone) == wanted_distance;
+            if (is_match && addresses.size() < max_addresses) addresses.push_back(lease.client_address);
         }
     }
-    return out;
+    return addresses;
 }
 
 } // namespace willowrill::control
--- a/src/system/control/directory.h
+++ b/src/system/control/directory.h
@@ -11,7 +11,7 @@
 
 inline constexpr std::size_t max_addresses = 64;
 // Where fewer are found, schedulers further away are added.
-inline constexpr std::size_t enough_in_zone = 2;
+inline constexpr std::size_t min_nearby_addresses = 2;
 
 // Addresses for clients in this zone and region, the nearest first; at most `max_addresses`.
 std::vector<std::string> resolve(const std::vector<membership::Lease>& leases, const std::string& region,
--- a/src/system/control/endpoint_list_service.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -21,13 +21,13 @@
         zones_.push_back(zone);
 }
 
-void EndpointListService::assign(std::uint64_t epoch, const std::vector<std::string>& live) {
+void EndpointListService::assign(std::uint64_t epoch, const std::vector<std::string>& live_members) {
     if (!assigner_ || assigner_epoch_ != epoch) {
         // One member reads all lists where nothing stands against it: together they take fewer calls.
         assigner_.emplace(epoch, owner_timeout, ownership::Placement::colocated);
         assigner_epoch_ = epoch;
     }
-    const messages::RoleAssignments roles{assigner_->assign(zones_, live, steady_now())};
+    const messages::RoleAssignments roles{assigner_->assign(zones_, live_members, steady_now())};
     callbacks_.broadcast(roles);
     on(roles);
 }
@@ -51,10 +51,10 @@
 }
 
 void EndpointListService::on_own_list(const discovery::ZoneList& list) {
-    const auto known = catalogue_.zones().find(list.zone);
+    const auto stored = catalogue_.zones().find(list.zone);
     const bool is_unchanged =
-        known != catalogue_.zones().end() && known->second.token == list.token &&
-        discovery::same_content(known->second.instances, list.instances, republish_period / 2);
+        stored != catalogue_.zones().end() && stored->second.token == list.token &&
+        discovery::same_content(stored->second.instances, list.instances, republish_period / 2);
     apply_list(list);
     const Clock::time_point now = Clock::now();
     if (is_unchanged && now - list_sent_at_[list.zone] < 4 * republish_period)
@@ -67,19 +67,19 @@
     if (!catalogue_.update(list)) return;
     if (assigner_) assigner_->on_owner_activity(list.zone, list.token, steady_now());
     const Clock::time_point now = Clock::now();
-    PublishedZone& before = published_[list.zone];
-    const auto elapsed = std::chrono::duration_cast<discovery::Milliseconds>(now - before.at);
-    const bool first = before.at == Clock::time_point{};
-    if (!first && discovery::same_content(before.instances, list.instances, elapsed)) return;
-    before = {list.instances, now};
+    PublishedZone& previous = published_[list.zone];
+    const auto elapsed = std::chrono::duration_cast<discovery::Milliseconds>(now - previous.published_at);
+    const bool is_first = previous.published_at == Clock::time_point{};
+    if (!is_first && discovery::same_content(previous.instances, list.instances, elapsed)) return;
+    previous = {list.instances, now};
     callbacks_.changed(list);
 }
 
 std::vector<messages::ZoneListUpdate> EndpointListService::zone_list_updates() const {
-    std::vector<messages::ZoneListUpdate> out;
+    std::vector<messages::ZoneListUpdate> result;
     for (const auto& [zone, list] : catalogue_.zones())
-        out.push_back({list});
-    return out;
+        result.push_back({list});
+    return result;
 }
 
 } // namespace willowrill::control
--- a/src/system/control/endpoint_list_service.h
+++ b/src/system/control/endpoint_list_service.h
@@ -27,7 +27,7 @@
 
     void tick() { poller_.tick(Clock::now()); }
     // As the primary of this epoch, assigns the zones to these members and publishes the assignments.
-    void assign(std::uint64_t epoch, const std::vector<std::string>& live);
+    void assign(std::uint64_t epoch, const std::vector<std::string>& live_members);
     // Another member is the primary.
     void stop_assigning() { assigner_.reset(); }
     // A message of another member.
@@ -39,7 +39,7 @@
     using Clock = std::chrono::steady_clock;
     struct PublishedZone {
         std::vector<discovery::Instance> instances;
-        Clock::time_point at;
+        Clock::time_point published_at;
     };
     void on(const messages::RoleAssignments& roles);
     void on(const messages::ZoneListUpdate& update) { apply_list(update.list); }
--- a/src/system/control/lease_replicator.cpp
+++ b/src/system/control/lease_replicator.cpp
@@ -17,10 +17,10 @@
 // ---- Leases renewed here ---------------------------------------------------------------------------------
 
 messages::LeasesSnapshot LeaseReplicator::snapshot() const {
-    messages::LeasesSnapshot out{version_, {}};
-    for (const auto& [node, lease] : renewed_here_)
-        out.leases.push_back(lease);
-    return out;
+    messages::LeasesSnapshot result{version_, {}};
+    for (const auto& [node, lease] : local_leases_)
+        result.leases.push_back(lease);
+    return result;
 }
 
 void LeaseReplicator::publish_delta(const std::vector<Lease>& changed,
@@ -31,12 +31,12 @@
 
 void LeaseReplicator::on_renewed(membership::Time now, const Lease& lease) {
     const bool view_changed = leases_.renew(now, lease, membership::Source::holder);
-    const auto found = renewed_here_.find(lease.node);
-    if (found == renewed_here_.end() && renewed_here_.size() >= membership::max_leases) return;
-    Lease before = found == renewed_here_.end() ? Lease{} : found->second;
-    before.renewal = lease.renewal;
-    const bool list_changed = before != lease;
-    renewed_here_[lease.node] = lease;
+    const auto found = local_leases_.find(lease.node);
+    if (found == local_leases_.end() && local_leases_.size() >= membership::max_leases) return;
+    Lease previous = found == local_leases_.end() ? Lease{} : found->second;
+    previous.renewal = lease.renewal;
+    const bool list_changed = previous != lease;
+    local_leases_[lease.node] = lease;
     renewed_since_publish_.insert(lease.node);
     removed_since_publish_.erase(lease.node);
     if (list_changed) publish_delta({lease}, {});
@@ -45,9 +45,9 @@
 
 // The holder may have gone to another core member and renewed there: only time ends its lease.
 void LeaseReplicator::on_disconnected(const Lease& lease) {
-    const auto found = renewed_here_.find(lease.node);
-    if (found == renewed_here_.end() || found->second.incarnation != lease.incarnation) return;
-    renewed_here_.erase(found);
+    const auto found = local_leases_.find(lease.node);
+    if (found == local_leases_.end() || found->second.incarnation != lease.incarnation) return;
+    local_leases_.erase(found);
     renewed_since_publish_.erase(lease.node);
     removed_since_publish_.insert(lease.node);
 }
@@ -57,7 +57,7 @@
         publish_delta({}, {removed_since_publish_.begin(), removed_since_publish_.end()});
     removed_since_publish_.clear();
     messages::LeasesKeepAlive keep_alive{version_, {}};
-    for (const auto& [node, lease] : renewed_here_)
+    for (const auto& [node, lease] : local_leases_)
         if (!renewed_since_publish_.contains(node)) keep_alive.silent.insert(node);
     renewed_since_publish_.clear();
     callbacks_.broadcast(keep_alive);
@@ -141,10 +141,10 @@
 
 bool LeaseReplicator::apply_keep_alive(membership::Time now, const PeerLeases& peer,
                                        const messages::LeasesKeepAlive& keep_alive) {
-    bool all_known = true;
+    bool all_extended = true;
     for (const auto& [node, incarnation] : peer.incarnations)
-        if (!keep_alive.silent.contains(node)) all_known &= leases_.extend(now, node, incarnation);
-    return all_known;
+        if (!keep_alive.silent.contains(node)) all_extended &= leases_.extend(now, node, incarnation);
+    return all_extended;
 }
 
 } // namespace willowrill::control
--- a/src/system/control/lease_replicator.h
+++ b/src/system/control/lease_replicator.h
@@ -77,7 +77,7 @@
 
     Callbacks callbacks_;
     membership::LeaseTable leases_;
-    std::map<std::string, membership::Lease> renewed_here_; // by node; bounded as lease tables are
+    std::map<std::string, membership::Lease> local_leases_; // by node; bounded as lease tables are
     std::set<std::string> renewed_since_publish_;           // nodes among them
     std::set<std::string> removed_since_publish_;           // nodes that were among them
     messages::LeaseListVersion version_;                    // of the list published last
--- a/src/system/control/main.cpp
+++ b/src/system/control/main.cpp
@@ -46,11 +46,11 @@
     CLI::App app{"The control plane of willowrill: configuration, membership, discovery and directory."};
     app.set_version_flag("--version", WILLOWRILL_VERSION);
     std::string settings_path, configuration_path;
-    bool check = false;
+    bool check_only = false;
     std::uint16_t metrics_port = 0;
     app.add_option("--settings", settings_path, "settings file of this process")->envname("WILLOWRILL_BOOT");
     app.add_option("--metrics-port", metrics_port, "serve figures at this port, path /metrics");
-    app.add_flag("--check", check, "read the settings, say what is wrong with them, and end");
+    app.add_flag("--check", check_only, "read the settings, say what is wrong with them, and end");
     app.add_option("--check-configuration", configuration_path,
                    "check an operator's configuration file, and end");
     CLI11_PARSE(app, argc, argv);
@@ -63,7 +63,7 @@
             .text("detail", settings ? "endpoints.control is missing" : settings.error().detail);
         return 1;
     }
-    if (check) return 0;
+    if (check_only) return 0;
     try {
         return serve(settings.value(), settings_path, metrics_port);
     } catch (const std::exception& error) {
--- a/src/system/control/operator_api.cpp
+++ b/src/system/control/operator_api.cpp
@@ -23,18 +23,18 @@
 constexpr std::string_view finish_upgrade_path = "/-/upgrade/finish";
 
 // The version in an If-Match header, with or without quotes.
-std::optional<configuration::Version> version_in(std::string_view text) {
+std::optional<configuration::Version> parse_version(std::string_view text) {
     if (text.size() >= 2 && text.front() == '"' && text.back() == '"') text = text.substr(1, text.size() - 2);
-    configuration::Version out = 0;
-    const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), out);
-    if (error != std::errc() || stop != text.data() + text.size()) return std::nullopt;
-    return out;
+    configuration::Version result = 0;
+    const auto [parse_end, error] = std::from_chars(text.data(), text.data() + text.size(), result);
+    if (error != std::errc() || parse_end != text.data() + text.size()) return std::nullopt;
+    return result;
 }
 
-std::optional<configuration::Version> based_on(const Request& request) {
-    const auto match = request.find(http::field::if_match);
-    if (match == request.end()) return std::nullopt;
-    return version_in({match->value().data(), match->value().size()});
+std::optional<configuration::Version> expected_version(const Request& request) {
+    const auto header = request.find(http::field::if_match);
+    if (header == request.end()) return std::nullopt;
+    return parse_version({header->value().data(), header->value().size()});
 }
 
 } // namespace
@@ -52,7 +52,7 @@
 void OperatorApi::on_upgrade(const Request& request, const Respond& respond) {
     if (request.method() != http::verb::get)
         return respond(error_response(request, {ErrorKind::method_not_allowed, "use GET"}));
-    if (redirect(request, respond)) return;
+    if (redirect_to_primary(request, respond)) return;
     respond(json_response(request, 200, to_json_text(upgrade_status_(), protocol::supported_versions.max)));
 }
 
@@ -60,7 +60,7 @@
 void OperatorApi::on_finish_upgrade(const Request& request, const Respond& respond) {
     if (request.method() != http::verb::post)
         return respond(error_response(request, {ErrorKind::method_not_allowed, "use POST"}));
-    if (redirect(request, respond)) return;
+    if (redirect_to_primary(request, respond)) return;
     constexpr protocol::Version target = protocol::supported_versions.max;
     const UpgradeStatus status = upgrade_status_();
     const auto blockers = upgrade_blockers(status, target);
@@ -72,7 +72,7 @@
 }
 
 // Says whether the request was answered here, as another member is the primary or none is known.
-bool OperatorApi::redirect(const Request& request, const Respond& respond) const {
+bool OperatorApi::redirect_to_primary(const Request& request, const Respond& respond) const {
     if (node_.is_primary()) return false;
     const auto primary = node_.primary();
     if (!primary || *primary == self_) {
@@ -87,7 +87,7 @@
 
 void OperatorApi::on_configuration(const Request& request, const Respond& respond) {
     if (request.method() == http::verb::get) {
-        if (redirect(request, respond)) return;
+        if (redirect_to_primary(request, respond)) return;
         return node_.orders().read([request, respond](errors::Result<std::string> text) {
             if (!text) return respond(error_response(request, text.error()));
             if (text.value().empty())
@@ -97,9 +97,11 @@
         });
     }
     if (request.method() == http::verb::put)
-        return submit(request, respond, configuration::PutConfiguration{based_on(request), request.body()});
+        return submit(request, respond,
+                      configuration::PutConfiguration{expected_version(request), request.body()});
     if (request.method() == http::verb::patch)
-        return submit(request, respond, configuration::PatchConfiguration{based_on(request), request.body()});
+        return submit(request, respond,
+                      configuration::PatchConfiguration{expected_version(request), request.body()});
     respond(error_response(request, {ErrorKind::method_not_allowed, "use GET, PUT or PATCH"}));
 }
 
@@ -114,14 +116,14 @@
 }
 
 void OperatorApi::submit(const Request& request, const Respond& respond, configuration::Order order) {
-    if (redirect(request, respond)) return;
+    if (redirect_to_primary(request, respond)) return;
     const auto method = request.method_string();
     const std::string kind(method.data(), method.size());
     node_.orders().submit(
-        std::move(order), [this, request, respond, kind, since = steady_now()](OrderResult result) {
+        std::move(order), [this, request, respond, kind, submitted_at = steady_now()](OrderResult result) {
             const unsigned status = result ? 200 : errors::answer_to(result.error().kind).status;
             metrics_.add(metrics::Total::orders, kind, std::to_string(status));
-            metrics_.observe(metrics::Duration::order_wait, steady_now() - since, kind);
+            metrics_.observe(metrics::Duration::order_wait, steady_now() - submitted_at, kind);
             if (result) return respond(json_response(request, 200, "{}"));
             logging::info("order-refused")
                 .field("target", std::string(request.target()))
--- a/src/system/control/operator_api.h
+++ b/src/system/control/operator_api.h
@@ -31,7 +31,7 @@
     void on_finish_upgrade(const http_server::Request& request, const http_server::Respond& respond);
     void submit(const http_server::Request& request, const http_server::Respond& respond,
                 configuration::Order order);
-    bool redirect(const http_server::Request& request, const http_server::Respond& respond) const;
+    bool redirect_to_primary(const http_server::Request& request, const http_server::Respond& respond) const;
 
     CoreNode& node_;
     MemberId self_;
--- a/src/system/control/order_queue.cpp
+++ b/src/system/control/order_queue.cpp
@@ -22,9 +22,9 @@
 
 void OrderQueue::start_next() {
     if (waiting_.empty()) return;
-    Waiting next = std::move(waiting_.front());
+    WaitingOrder next = std::move(waiting_.front());
     waiting_.pop_front();
-    running_ = Running{next_id_++, Phase::confirming, std::move(next.order), std::move(next.done)};
+    running_ = RunningOrder{next_id_++, Phase::confirming, std::move(next.order), std::move(next.done)};
     feed_(replication::ConfirmLeadership{running_->id});
 }
 
@@ -50,15 +50,16 @@
     if (running_ && running_->id == committed.id) finish(BOOST_OUTCOME_V2_NAMESPACE::success());
 }
 
-void OrderQueue::on(const replication::OutcomeUnknown& undecided) {
-    if (const auto read = reads_.find(undecided.id); read != reads_.end()) {
+void OrderQueue::on(const replication::OutcomeUnknown& unknown_outcome) {
+    if (const auto read = reads_.find(unknown_outcome.id); read != reads_.end()) {
         const OnReadDone done = std::move(read->second);
         reads_.erase(read);
         return done(Error{ErrorKind::not_primary, "this member is not the primary"});
     }
-    if (!running_ || running_->id != undecided.id) return;
-    const bool sent = running_->phase == Phase::replicating;
-    finish(Error{sent ? ErrorKind::undecided : ErrorKind::not_primary, "the primary changed meanwhile"});
+    if (!running_ || running_->id != unknown_outcome.id) return;
+    const bool was_proposed = running_->phase == Phase::replicating;
+    finish(
+        Error{was_proposed ? ErrorKind::undecided : ErrorKind::not_primary, "the primary changed meanwhile"});
 }
 
 void OrderQueue::finish(OrderResult result) {
--- a/src/system/control/order_queue.h
+++ b/src/system/control/order_queue.h
@@ -37,17 +37,17 @@
     }
     void on(const replication::LeadershipConfirmed& confirmed);
     void on(const replication::Committed& committed);
-    void on(const replication::OutcomeUnknown& undecided);
+    void on(const replication::OutcomeUnknown& unknown_outcome);
 
   private:
     enum class Phase { confirming, replicating };
-    struct Running {
+    struct RunningOrder {
         std::uint64_t id = 0;
         Phase phase = Phase::confirming;
         configuration::Order order;
         OnOrderDone done;
     };
-    struct Waiting {
+    struct WaitingOrder {
         configuration::Order order;
         OnOrderDone done;
     };
@@ -58,8 +58,8 @@
     configuration::ControlState state_;
     replication::Position position_;
     std::uint64_t next_id_ = 1;
-    std::optional<Running> running_;
-    std::deque<Waiting> waiting_; // at most `max_waiting_orders`
+    std::optional<RunningOrder> running_;
+    std::deque<WaitingOrder> waiting_; // at most `max_waiting_orders`
     std::map<std::uint64_t, OnReadDone> reads_;
 };
 
--- a/src/system/control/page_reader.cpp
+++ b/src/system/control/page_reader.cpp
@@ -35,21 +35,21 @@
 void PageReader::on_page(const http_client::Response* response) {
     metrics_.add(metrics::Total::platform_calls,
                  response == nullptr ? "none" : std::to_string(response->result_int()));
-    if (response == nullptr) return callbacks_.failed(Failure::no_answer);
-    if (response->result() != http::status::ok) return callbacks_.failed(Failure::rejected);
+    if (response == nullptr) return callbacks_.on_failure(Failure::no_response);
+    if (response->result() != http::status::ok) return callbacks_.on_failure(Failure::rejected);
     auto page = discovery::parse_page(response->body());
     if (!page) {
         logging::warning("instance-list-unreadable")
             .text("target", target_)
             .text("detail", page.error().detail);
-        return callbacks_.failed(Failure::unreadable);
+        return callbacks_.on_failure(Failure::unreadable);
     }
-    std::vector<discovery::Instance>& found = page.value().instances;
+    std::vector<discovery::Instance>& page_instances = page.value().instances;
     const bool has_next = page.value().next_token && ++pages_ < max_pages;
-    if (has_next) callbacks_.full_page(found.size());
-    std::ranges::move(found, std::back_inserter(instances_));
+    if (has_next) callbacks_.on_full_page(page_instances.size());
+    std::ranges::move(page_instances, std::back_inserter(instances_));
     if (has_next) return read_page(*page.value().next_token);
-    callbacks_.read(std::exchange(instances_, {}));
+    callbacks_.on_list(std::exchange(instances_, {}));
 }
 
 } // namespace willowrill::control
--- a/src/system/control/page_reader.h
+++ b/src/system/control/page_reader.h
@@ -18,14 +18,14 @@
 class PageReader {
   public:
     enum class Failure {
-        no_answer,  // or none in time
-        rejected,   // the platform is asked too often, or has a fault
-        unreadable, // the answer is no page
+        no_response, // or none in time
+        rejected,    // the platform is asked too often, or has a fault
+        unreadable,  // the answer is no page
     };
     struct Callbacks {
-        std::function<void(std::vector<discovery::Instance>)> read; // every page of the list
-        std::function<void(Failure)> failed;
-        std::function<void(std::size_t)> full_page; // of so many instances, with another behind it
+        std::function<void(std::vector<discovery::Instance>)> on_list; // every page of the list
+        std::function<void(Failure)> on_failure;
+        std::function<void(std::size_t)> on_full_page; // of so many instances, with another behind it
     };
 
     // `target`: of the first page, with its query. `loop` and `metrics` outlive the reader.
@@ -36,7 +36,7 @@
     // A reading under way ends without a word.
     ~PageReader() { client_->close(); }
 
-    bool busy() const { return client_->busy(); }
+    bool is_busy() const { return client_->busy(); }
     // Reads the list from its first page on. Not while busy.
     void start();
 
--- a/src/system/control/platform_poller.cpp
+++ b/src/system/control/platform_poller.cpp
@@ -16,10 +16,11 @@
                                metrics::Metrics& metrics, OnList on_list)
     : loop_(loop), platform_(std::move(platform)), zone_count_(zone_count), metrics_(metrics),
       on_list_(std::move(on_list)),
-      all_reader_(loop, platform_, list_target, metrics,
-                  {[this](std::vector<discovery::Instance> instances) { on_all(std::move(instances)); },
-                   [this](PageReader::Failure failure) { on_failure(all_due_, failure); },
-                   [this](std::size_t instances) { plan_.on_full_page(instances); }}) {}
+      all_zones_reader_(
+          loop, platform_, list_target, metrics,
+          {[this](std::vector<discovery::Instance> instances) { on_all_zones(std::move(instances)); },
+           [this](PageReader::Failure failure) { on_failure(all_zones_due_, failure); },
+           [this](std::size_t instances) { plan_.on_full_page(instances); }}) {}
 
 PageReader::Callbacks PlatformPoller::callbacks_for(const std::string& zone) {
     return {[this, zone](std::vector<discovery::Instance> instances) { on_zone(zone, std::move(instances)); },
@@ -42,28 +43,28 @@
     if (owned != zones_.end() && token > owned->second.token) zones_.erase(owned);
 }
 
-bool PlatformPoller::reads_all_at_once() const {
+bool PlatformPoller::should_read_all_zones() const {
     return zones_.size() >= zone_count_ &&
            plan_.next(zones_.size()) == discovery::ReadPlan::Strategy::all_at_once;
 }
 
-bool PlatformPoller::reads_a_zone() const {
-    return std::ranges::any_of(zones_, [](const auto& zone) { return zone.second.reader->busy(); });
+bool PlatformPoller::is_reading_zone() const {
+    return std::ranges::any_of(zones_, [](const auto& zone) { return zone.second.reader->is_busy(); });
 }
 
 void PlatformPoller::start_if_due(PageReader& reader, Clock::time_point& due, Clock::time_point now) {
-    if (reader.busy() || now < due) return;
+    if (reader.is_busy() || now < due) return;
     due = now + poll_period;
     reader.start();
 }
 
 // The one way is not begun before the other has ended, so that no older list is published after a newer one.
 void PlatformPoller::tick(Clock::time_point now) {
-    if (reads_all_at_once()) {
-        if (!reads_a_zone()) start_if_due(all_reader_, all_due_, now);
+    if (should_read_all_zones()) {
+        if (!is_reading_zone()) start_if_due(all_zones_reader_, all_zones_due_, now);
         return;
     }
-    if (all_reader_.busy()) return;
+    if (all_zones_reader_.is_busy()) return;
     for (auto& [name, zone] : zones_)
         start_if_due(*zone.reader, zone.due, now);
 }
@@ -80,7 +81,7 @@
 }
 
 // A zone that has gone to another member meanwhile is not published.
-void PlatformPoller::on_all(std::vector<discovery::Instance> instances) {
+void PlatformPoller::on_all_zones(std::vector<discovery::Instance> instances) {
     std::map<std::string, std::vector<discovery::Instance>> by_zone;
     for (const auto& [zone, owned] : zones_)
         by_zone[zone]; // one without workers has an empty list
--- a/src/system/control/platform_poller.h
+++ b/src/system/control/platform_poller.h
@@ -43,13 +43,13 @@
         Clock::time_point due;
         std::unique_ptr<PageReader> reader;
     };
-    bool reads_all_at_once() const;
-    bool reads_a_zone() const;
+    bool should_read_all_zones() const;
+    bool is_reading_zone() const;
     void start_if_due(PageReader& reader, Clock::time_point& due, Clock::time_point now);
     PageReader::Callbacks callbacks_for(const std::string& zone);
     void on_failure(Clock::time_point& due, PageReader::Failure failure) const;
     void on_zone(const std::string& zone, std::vector<discovery::Instance> instances);
-    void on_all(std::vector<discovery::Instance> instances);
+    void on_all_zones(std::vector<discovery::Instance> instances);
 
     asio::io_context& loop_;
     settings::Endpoint platform_;
@@ -58,8 +58,8 @@
     OnList on_list_;
     discovery::ReadPlan plan_;
     std::map<std::string, Zone> zones_;
-    Clock::time_point all_due_;
-    PageReader all_reader_; // of every zone's list at once
+    Clock::time_point all_zones_due_;
+    PageReader all_zones_reader_; // of every zone's list at once
 };
 
 } // namespace willowrill::control
--- a/src/system/control/replica_store.cpp
+++ b/src/system/control/replica_store.cpp
@@ -14,15 +14,15 @@
 namespace willowrill::control {
 namespace {
 
-constexpr std::size_t slots = 3;
-constexpr std::size_t register_capacity = 16U << 10U;
+constexpr std::size_t slots_per_ring = 3;
+constexpr std::size_t register_capacity_bytes = 16U << 10U;
 // Of the position's line, and of zones evacuated on top of the largest configuration.
-constexpr std::size_t spare_capacity = 4096;
-constexpr std::size_t state_capacity = configuration::max_record_bytes + spare_capacity;
-constexpr std::size_t max_unpacked = configuration::max_state_bytes + spare_capacity;
+constexpr std::size_t overhead_bytes = 4096;
+constexpr std::size_t state_capacity_bytes = configuration::max_record_bytes + overhead_bytes;
+constexpr std::size_t max_decompressed_bytes = configuration::max_state_bytes + overhead_bytes;
 
 template <class Decode>
-auto newest(const storage::RecordRing& ring, Decode decode)
+auto decode_newest(const storage::RecordRing& ring, Decode decode)
     -> std::optional<decltype(decode(std::string()))> {
     if (!ring.newest()) return std::nullopt;
     try {
@@ -33,7 +33,7 @@
     }
 }
 
-void report(const char* name, const storage::RecordRing& ring) {
+void log_unusable_slots(const char* name, const storage::RecordRing& ring) {
     using storage::SlotContent;
     for (const SlotContent content : ring.slot_contents()) {
         if (content == SlotContent::torn) logging::warning("record-torn").field("ring", name);
@@ -47,42 +47,44 @@
 } // namespace
 
 errors::Result<std::unique_ptr<ReplicaStore>> ReplicaStore::open(const std::filesystem::path& folder) {
-    auto registers = storage::RecordRing::open(folder, "register", slots, register_capacity);
+    auto registers = storage::RecordRing::open(folder, "register", slots_per_ring, register_capacity_bytes);
     if (!registers) return registers.error();
-    auto states = storage::RecordRing::open(folder, "state", slots, state_capacity);
+    auto states = storage::RecordRing::open(folder, "state", slots_per_ring, state_capacity_bytes);
     if (!states) return states.error();
-    report("register", registers.value());
-    report("state", states.value());
+    log_unusable_slots("register", registers.value());
+    log_unusable_slots("state", states.value());
     return std::unique_ptr<ReplicaStore>(
         new ReplicaStore(std::move(registers.value()), std::move(states.value())));
 }
 
 replication::Loaded ReplicaStore::load() const {
-    const auto unpacked_state = [](const std::string& record) {
-        const auto text = compression::decompress(record, max_unpacked);
+    const auto decode_compressed_state = [](const std::string& record) {
+        const auto text = compression::decompress(record, max_decompressed_bytes);
         if (!text) throw std::runtime_error("a packed state is damaged");
         return replication::decode_state(*text);
     };
-    return {newest(registers_, replication::decode_register), newest(states_, unpacked_state)};
+    return {decode_newest(registers_, replication::decode_register),
+            decode_newest(states_, decode_compressed_state)};
 }
 
 storage::RecordFormat ReplicaStore::format_of(const replication::DiskRecord& record) const {
-    const storage::RecordFormat so_far = std::max(registers_.format(), states_.format());
+    const storage::RecordFormat current_format = std::max(registers_.format(), states_.format());
     const auto* state = std::get_if<replication::ReplicatedState>(&record);
-    if (state == nullptr) return so_far;
-    const bool needs_later =
+    if (state == nullptr) return current_format;
+    const bool needs_newer_format =
         configuration::cluster_version_of(*state->content) > protocol::initial_cluster_version;
-    return needs_later ? storage::RecordFormat::cluster_version : so_far;
+    return needs_newer_format ? storage::RecordFormat::cluster_version : current_format;
 }
 
 bool ReplicaStore::save(const replication::Save& request) {
     if (failed_ && !request.is_restoration) return false;
     const storage::RecordFormat format = format_of(request.record);
-    const auto* value = std::get_if<replication::WitnessRegister>(&request.record);
-    failed_ = value != nullptr ? !registers_.write(replication::encode_register(*value), format)
-                               : !states_.write(compression::compress(replication::encode_state(
-                                                    std::get<replication::ReplicatedState>(request.record))),
-                                                format);
+    const auto* witness_register = std::get_if<replication::WitnessRegister>(&request.record);
+    failed_ = witness_register != nullptr
+                  ? !registers_.write(replication::encode_register(*witness_register), format)
+                  : !states_.write(compression::compress(replication::encode_state(
+                                       std::get<replication::ReplicatedState>(request.record))),
+                                   format);
     return !failed_;
 }
 
--- a/src/system/control/replica_store_thread.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -19,7 +19,7 @@
 // What the thread and the loop have in common; outlives the worker where a call to the disk does not return.
 struct ReplicaStoreThread::Shared {
     std::mutex mutex;
-    std::condition_variable changed;
+    std::condition_variable wakeup;
     std::deque<replication::Save> requests; // bounded by the replica, which asks nothing of a silent disk
     asio::io_context* loop = nullptr;       // null once the worker is gone
     std::filesystem::path folder;
@@ -34,9 +34,9 @@
     }
 
     // Nothing once the worker is gone.
-    std::optional<replication::Save> next() {
+    std::optional<replication::Save> wait_for_request() {
         std::unique_lock lock(mutex);
-        changed.wait(lock, [this] { return loop == nullptr || !requests.empty(); });
+        wakeup.wait(lock, [this] { return loop == nullptr || !requests.empty(); });
         if (loop == nullptr) return std::nullopt;
         replication::Save request = std::move(requests.front());
         requests.pop_front();
@@ -44,18 +44,18 @@
     }
 
     // Whether the worker still wants it after the pause.
-    bool pause() {
+    bool wait_before_reopen() {
         std::unique_lock lock(mutex);
-        return !changed.wait_for(lock, reopen_period, [this] { return loop == nullptr; });
+        return !wakeup.wait_for(lock, reopen_period, [this] { return loop == nullptr; });
     }
 
     std::unique_ptr<ReplicaStore> open() {
-        for (std::string logged;;) {
+        for (std::string last_error;;) {
             auto store = ReplicaStore::open(folder);
             if (store) return std::move(store.value());
-            if (std::exchange(logged, store.error().detail) != store.error().detail)
-                logging::error("disk-unusable").text("detail", logged);
-            if (!pause()) return nullptr;
+            if (std::exchange(last_error, store.error().detail) != store.error().detail)
+                logging::error("disk-unusable").text("detail", last_error);
+            if (!wait_before_reopen()) return nullptr;
         }
     }
 
@@ -63,7 +63,7 @@
         const std::unique_ptr<ReplicaStore> store = self->folder.empty() ? nullptr : self->open();
         if (!store && !self->folder.empty()) return;
         self->post_event(self, store ? store->load() : replication::Loaded{});
-        while (const auto request = self->next()) {
+        while (const auto request = self->wait_for_request()) {
             if (!store || store->save(*request))
                 self->post_event(self, replication::Saved{request->save_id});
             else
@@ -84,13 +84,13 @@
     const std::lock_guard lock(shared_->mutex);
     shared_->loop = nullptr;
     shared_->on_event = nullptr;
-    shared_->changed.notify_all();
+    shared_->wakeup.notify_all();
 }
 
 void ReplicaStoreThread::save(replication::Save request) {
     const std::lock_guard lock(shared_->mutex);
     shared_->requests.push_back(std::move(request));
-    shared_->changed.notify_all();
+    shared_->wakeup.notify_all();
 }
 
 } // namespace willowrill::control
--- a/src/system/control/upgrade_status.cpp
+++ b/src/system/control/upgrade_status.cpp
@@ -19,38 +19,41 @@
     return std::nullopt;
 }
 
-json document_of(const protocol::VersionRange& versions) { return json::array({versions.min, versions.max}); }
+json version_range_json(const protocol::VersionRange& versions) {
+    return json::array({versions.min, versions.max});
+}
 
 } // namespace
 
 UpgradeStatus make_upgrade_status(protocol::Version cluster_version,
-                                  const replication::WitnessRegister& known,
+                                  const replication::WitnessRegister& witness_register,
                                   const std::map<replication::MemberId, protocol::Greeting>& greetings,
                                   std::vector<membership::Lease> schedulers) {
     std::set<replication::MemberId> ids;
     for (const auto& [id, greeting] : greetings)
         ids.insert(id);
-    for (const auto* record : {&known.accepted, &known.decided}) {
+    for (const auto* record : {&witness_register.accepted, &witness_register.decided}) {
         ids.insert(record->witnesses.begin(), record->witnesses.end());
         ids.insert(record->in_sync.begin(), record->in_sync.end());
     }
-    UpgradeStatus out{cluster_version, {}, std::move(schedulers)};
+    UpgradeStatus result{cluster_version, {}, std::move(schedulers)};
     for (const replication::MemberId& id : ids) {
         const auto found = greetings.find(id);
-        out.members.push_back({id, found == greetings.end() ? std::nullopt : std::optional(found->second)});
+        result.members.push_back(
+            {id, found == greetings.end() ? std::nullopt : std::optional(found->second)});
     }
-    return out;
+    return result;
 }
 
 std::vector<UpgradeBlocker> upgrade_blockers(const UpgradeStatus& status, protocol::Version version) {
-    std::vector<UpgradeBlocker> out;
+    std::vector<UpgradeBlocker> result;
     for (const CoreMemberVersions& member : status.members)
-        if (const auto reason = blocking_reason(member, version)) out.push_back({member.id, *reason});
+        if (const auto reason = blocking_reason(member, version)) result.push_back({member.id, *reason});
     for (const membership::Lease& scheduler : status.schedulers)
         if (!scheduler.versions.contains(version))
-            out.push_back({scheduler.node,
-                           fmt::format("speaks versions {} only", protocol::to_text(scheduler.versions))});
-    return out;
+            result.push_back({scheduler.node,
+                              fmt::format("speaks versions {} only", protocol::to_text(scheduler.versions))});
+    return result;
 }
 
 std::string to_json_text(const UpgradeStatus& status, protocol::Version target) {
@@ -58,10 +61,11 @@
     for (const CoreMemberVersions& member : status.members)
         members.push_back(
             {{"id", member.id},
-             {"versions", member.greeting ? document_of(member.greeting->versions) : json(nullptr)},
+             {"versions", member.greeting ? version_range_json(member.greeting->versions) : json(nullptr)},
              {"features", member.greeting ? json(member.greeting->features) : json::array()}});
     for (const membership::Lease& scheduler : status.schedulers)
-        schedulers.push_back({{"node", scheduler.node}, {"versions", document_of(scheduler.versions)}});
+        schedulers.push_back(
+            {{"node", scheduler.node}, {"versions", version_range_json(scheduler.versions)}});
     for (const UpgradeBlocker& blocker : upgrade_blockers(status, target))
         blockers.push_back({{"process", blocker.process}, {"reason", blocker.reason}});
     return json{{"clusterVersion", status.cluster_version},     {"targetVersion", target},
@@ -71,12 +75,12 @@
 }
 
 std::string to_text(const std::vector<UpgradeBlocker>& blockers) {
-    std::string out;
+    std::string result;
     for (std::size_t i = 0; i < blockers.size() && i < max_named_blockers; ++i)
-        out += fmt::format("{}{} {}", i == 0 ? "" : "; ", blockers[i].process, blockers[i].reason);
+        result += fmt::format("{}{} {}", i == 0 ? "" : "; ", blockers[i].process, blockers[i].reason);
     if (blockers.size() > max_named_blockers)
-        out += fmt::format("; and {} more", blockers.size() - max_named_blockers);
-    return out;
+        result += fmt::format("; and {} more", blockers.size() - max_named_blockers);
+    return result;
 }
 
 } // namespace willowrill::control
--- a/src/system/control/upgrade_status.h
+++ b/src/system/control/upgrade_status.h
@@ -36,7 +36,7 @@
 // Puts together what is known: `greetings` of the members that are connected, by id, and this member's own
 // among them; the witnesses and the in-sync set of `known` count whether they are connected or not.
 UpgradeStatus make_upgrade_status(protocol::Version cluster_version,
-                                  const replication::WitnessRegister& known,
+                                  const replication::WitnessRegister& witness_register,
                                   const std::map<replication::MemberId, protocol::Greeting>& greetings,
                                   std::vector<membership::Lease> schedulers);
 
--- a/tests/system/control/connection_acceptor_test.cpp
+++ b/tests/system/control/connection_acceptor_test.cpp
@@ -139,10 +139,10 @@
     Accepted accepted;
     accepted.dialler->send(messages::encode(messages::SchedulerHello{one_version}));
     cr_assert(accepted.until([&] { return accepted.handler.sessions == 1; }));
-    accepted.acceptor.refuse_outdated();
+    accepted.acceptor.refuse_incompatible_peers();
     cr_assert_eq(accepted.handler.refused, 0);
     accepted.handler.cluster_version = 4;
-    accepted.acceptor.refuse_outdated();
+    accepted.acceptor.refuse_incompatible_peers();
     cr_assert(accepted.is_refused());
     cr_assert(accepted.until([&] { return accepted.handler.closed == 1; }));
 }
