--- a/src/system/control/connection_acceptor.cpp
+++ b/src/system/control/connection_acceptor.cpp
@@ -115,7 +115,7 @@
     if (!agreement) return refuse(connection, peer, kind, agreement.error());
     peer.agreement = std::move(agreement.value());
     if (core != nullptr && !handler_.on_core_member(core->member)) return connection->close();
-    // Programs that name one version alone read nothing here.
+    // Programs that announce a single version do not read on the connections they dial, so they get no reply.
     if (peer.agreement.version >= protocol::negotiated_version)
         connection->send(messages::encode(messages::HelloReply{handler_.greeting()}));
     if (core != nullptr)
--- a/src/system/control/connection_acceptor.h
+++ b/src/system/control/connection_acceptor.h
@@ -1,7 +1,8 @@
-// Accepts the connections that other core members and schedulers dial, and finds out by the first message,
-// the hello, whose they are, and settles on a version of the protocol with who sent it. A connection that
-// says something else first, or something malformed at any time, is closed; a peer with which no version is
-// had in common is told so by name before that. One thread.
+// Accepts connections from other core members and from schedulers. The first message on a connection, the
+// hello, identifies the peer and negotiates the protocol version. A connection whose first message is not a
+// hello, or that sends a malformed message at any time, is closed. A peer that shares no protocol version
+// with this process receives a refusal with the reason before its connection is closed. Not thread-safe: used
+// on the event loop's thread only.
 #pragma once
 
 #include "system/control/refusal_log.h"
@@ -28,49 +29,50 @@
   public:
     enum class PeerKind { core_member, scheduler };
 
-    // Takes in the connections that are known by their hello. Called on the loop's thread.
+    // Receives identified peers and their messages. Called on the event loop's thread.
     class Handler {
       public:
         virtual ~Handler() = default;
 
-        // A core member has dialled this one. False where it cannot be taken in: the connection is closed.
+        // A core member has connected. Returns false if it cannot be accepted; its connection is then closed.
         virtual bool on_core_member(const messages::CoreMember& member) = 0;
         virtual void on_core_message(const replication::MemberId& from,
                                      const messages::CoreMessage& message) = 0;
-        // A scheduler has begun a session. Returns its id.
+        // A scheduler has opened a session. Returns the id of the session.
         virtual distribution::SessionId on_scheduler(const transport::FrameConnectionPtr& connection) = 0;
         virtual void on_scheduler_message(distribution::SessionId id,
                                           const messages::SchedulerMessage& message) = 0;
         virtual void on_scheduler_closed(distribution::SessionId id) = 0;
-        // What this process says of itself now.
+        // The protocol versions and features that this process announces at present.
         virtual protocol::Greeting greeting() const = 0;
-        // No session could be had with a peer of this kind.
+        // A peer of this kind was refused because it shares no protocol version with this process.
         virtual void on_refused(PeerKind peer) = 0;
-        // A message that is not understood came, and was skipped or ended its connection.
+        // A message of unknown type was received. It was skipped, or its connection is being closed.
         virtual void on_unknown_message(PeerKind peer) = 0;
-        // A message had fields that are not known; they were skipped.
+        // A message contained `count` unknown fields, which were ignored.
         virtual void on_unknown_fields(PeerKind peer, std::size_t count) = 0;
-        // A delta of a state could not be applied: nothing has changed, and the state has to be had whole.
+        // A state delta could not be applied because its base is missing. The stored state is unchanged; a
+        // full state has to be requested.
         virtual void on_missing_state_base(const replication::MemberId& from) = 0;
     };
 
-    // `handler` outlives this object.
+    // `handler` must outlive this object.
     ConnectionAcceptor(asio::io_context& loop, const std::string& address, std::uint16_t port,
                        Handler& handler);
 
-    // Refuses the peers with which no version is had in common any more, as this process's greeting has
-    // changed.
+    // Refuses the identified peers that share no protocol version with the current greeting. Called after the
+    // greeting has changed.
     void refuse_incompatible_peers();
 
   private:
-    // Whose a connection is: nobody's yet, a core member's or a scheduler's.
+    // The peer at the other end: not identified yet, a core member or a scheduler's session.
     using Identity = std::variant<std::monostate, replication::MemberId, distribution::SessionId>;
     struct Peer {
         Identity identity;
-        std::string name; // for the log
+        std::string name; // for log messages
         protocol::Greeting greeting;
         protocol::Agreement agreement;
-        messages::StateDeltaReceiver state_delta_receiver; // of a core member
+        messages::StateDeltaReceiver state_delta_receiver; // used for core members only
     };
 
     void accept(const transport::FrameConnectionPtr& connection);
--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds tick_period{50};
-// Each a multiple of the tick's.
+// The following periods are multiples of `tick_period`.
 constexpr std::chrono::milliseconds dial_period{100};
 constexpr std::chrono::milliseconds assignment_period{250};
 constexpr std::chrono::milliseconds lease_publish_period{700};
 constexpr std::chrono::milliseconds announcement_period = 8 * lease_publish_period;
-// A shutdown takes at least so long, so that schedulers hear of it.
+// Minimum duration of a shutdown, so that schedulers learn of it before the process exits.
 constexpr std::chrono::milliseconds min_shutdown_duration{900};
-// The process ends so long before the platform would end it.
+// The process exits this long before the platform's grace period ends, when the platform would kill it.
 constexpr std::chrono::milliseconds grace_margin{1000};
 
 const char* label_of(ConnectionAcceptor::PeerKind peer) {
@@ -42,7 +42,7 @@
              [this](const replication::Position& position, const configuration::ControlState& state) {
                  on_state(position, state);
              },
-             [this] { assign_zones(); }, // schedulers that start wait for the list
+             [this] { assign_zones(); }, // starting schedulers wait for the lists
              [this](protocol::Version version) { raise_cluster_version(version); }}),
       mesh_(loop, {self_, settings_.zone, settings_.region}, settings_.first_internal_port, mesh_callbacks()),
       sessions_(session_callbacks()),
@@ -86,7 +86,7 @@
     metrics_.set(metrics::Level::max_version, protocol::supported_versions.max);
 }
 
-// ---- Versions of the protocol ----------------------------------------------------------------------------
+// ---- Protocol versions -----------------------------------------------------------------------------------
 
 void ControlPlane::raise_cluster_version(protocol::Version version) {
     if (version <= cluster_version_) return;
@@ -212,7 +212,7 @@
     });
 }
 
-// At a change, and periodically for members that missed one.
+// Announces the connected members whenever they change, and periodically for members that missed a message.
 void ControlPlane::announce_peers() {
     auto connected = mesh_.connected();
     if (connected == announced_peers_ && !schedule_.is_due(announcement_period)) return;
@@ -251,7 +251,7 @@
 
 bool ControlPlane::on_core_member(const messages::CoreMember& member) {
     if (!mesh_.add_peer(member.id)) return false;
-    member_locations_[member.id] = member; // bounded, as the mesh is
+    member_locations_[member.id] = member; // bounded by the size of the mesh
     return true;
 }
 
@@ -290,7 +290,7 @@
     node_.feed(replication::Received{from, envelope.message});
 }
 
-// The acceptor has made it whole already.
+// Never called with content: the acceptor converts deltas into full envelopes.
 void ControlPlane::on(const MemberId& /*from*/, const messages::ReplicationDelta&) const {}
 
 void ControlPlane::on(const MemberId& from, const messages::StateSnapshotRequest&) {
--- a/src/system/control/control_plane.h
+++ b/src/system/control/control_plane.h
@@ -1,6 +1,6 @@
-// One process of the control plane: connects the core member, the operators' interface, leases, endpoint
-// lists and the directory with sockets and timers. Only the replica store has a thread of its own; all else
-// runs on the loop's.
+// One process of the control plane: connects the core member, the operator API, leases, endpoint lists and
+// the directory to sockets and timers. The replica store has its own thread; everything else runs on the
+// event loop's thread.
 #pragma once
 
 #include "system/control/connection_acceptor.h"
@@ -26,14 +26,15 @@
 
 class ControlPlane : private ConnectionAcceptor::Handler {
   public:
-    // `settings_path` is read again whenever seeds are needed, as they may change without a signal.
-    // `metrics_port`: 0 where figures are not served.
+    // `settings_path`: file that `reload_settings` reads the seeds from.
+    // `metrics_port`: 0 disables the metrics endpoint.
     ControlPlane(asio::io_context& loop, settings::Settings settings, std::string settings_path,
                  std::uint16_t metrics_port = 0);
 
-    // Hands the primary's role on, and ends the loop once the others do without this member, or when the
-    // platform's grace runs out.
+    // Starts a graceful shutdown: hands over the primary role and stops the event loop once the other members
+    // no longer depend on this one, or shortly before the platform's grace period ends.
     void leave();
+    // Re-reads the settings file and connects to its seeds. An unreadable file is logged and ignored.
     void reload_settings();
 
   private:
@@ -83,12 +84,12 @@
     settings::Settings settings_;
     std::string settings_path_;
     MemberId self_;
-    // The highest that was ever committed here in this life of the process.
+    // The highest cluster version seen since the process started; never decreases.
     protocol::Version cluster_version_ = protocol::initial_cluster_version;
     CoreNode node_;
     CoreMesh mesh_;
     distribution::SchedulerSessions sessions_;
-    std::map<MemberId, messages::CoreMember> member_locations_; // as members said of themselves
+    std::map<MemberId, messages::CoreMember> member_locations_; // as announced by the members
     std::map<distribution::SessionId, transport::FrameConnectionPtr> scheduler_connections_;
     distribution::SessionId last_session_ = 0;
     LeaseReplicator leases_;
@@ -100,7 +101,7 @@
     ConnectionAcceptor acceptor_;
     OperatorApi operator_api_;
     http_server::Server control_server_;
-    std::optional<DirectoryService> directory_; // none where the settings name no port for it
+    std::optional<DirectoryService> directory_; // empty if the settings give no directory port
     metrics::MetricsServer metrics_server_;
 };
 
--- a/src/system/control/core_mesh.cpp
+++ b/src/system/control/core_mesh.cpp
@@ -11,9 +11,10 @@
 namespace willowrill::control {
 namespace {
 
-// Short, as a dial into a cut hangs long after the cut has healed.
+// Kept short because a connection attempt started during a network partition hangs long after the partition
+// has healed.
 constexpr std::chrono::milliseconds dial_timeout{250};
-// A member that refused a session is dialled again after so long.
+// Time before a member that refused a connection is dialled again.
 constexpr std::chrono::milliseconds refusal_backoff{2000};
 
 } // namespace
--- a/src/system/control/core_mesh.h
+++ b/src/system/control/core_mesh.h
@@ -1,6 +1,6 @@
-// The connections between core members, a full mesh: each member dials every peer and sends on the connection
-// that it dialled; from connections that it accepted it only reads (control/connection_acceptor.h). One
-// thread.
+// Full mesh of connections between core members. Each member dials every peer and sends messages only on the
+// connections that it dialled; accepted connections are only read from (control/connection_acceptor.h). Not
+// thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/control/refusal_log.h"
@@ -18,65 +18,67 @@
 
 namespace willowrill::control {
 
-using MemberId = std::string; // control endpoint
+using MemberId = std::string; // the member's control endpoint
 
 class CoreMesh {
   public:
     struct Callbacks {
         std::function<void(const MemberId&)> connected;
         std::function<void(const MemberId&)> disconnected;
-        // What counts the bytes that go to a member.
+        // Returns the function that counts the frames sent to a member; it is called with the size in bytes.
         std::function<std::function<void(std::size_t)>(const MemberId&)> traffic_counter;
-        // What this process says of itself now.
+        // The protocol versions and features that this process announces at present.
         std::function<protocol::Greeting()> greeting;
-        // A member has refused a session, as no version is had in common.
+        // A member refused the connection because the two share no protocol version.
         std::function<void(const MemberId&)> refused;
-        // A message was not sent, as its receiver has not announced the feature that it needs.
+        // A message was not sent because its receiver has not announced the required feature.
         std::function<void()> message_held_back;
-        // A replicated state went out, whole or as a delta.
+        // A replicated state was sent, either in full or as a delta.
         std::function<void(bool as_delta)> state_sent;
     };
 
-    // `internal_port`: where core members listen for each other, alike on all machines.
-    // `self`: how this member introduces itself.
+    // `self`: identity and location that this member announces in its hello.
+    // `internal_port`: port on which core members accept each other's connections, the same on all machines.
     CoreMesh(asio::io_context& loop, messages::CoreMember self, std::uint16_t internal_port,
              Callbacks callbacks);
 
-    // Keeps a connection to this member from now on. False where it is this member itself or no endpoint, or
-    // there are too many.
+    // Adds a member to the mesh and keeps a connection to it. Returns false if `member` is this member itself
+    // or not a valid endpoint, or if the mesh is full.
     bool add_peer(const MemberId& member);
-    // Dials the peers that it is not connected to; to be called often.
+    // Dials the peers that are not connected, except those that refused a connection recently. Called
+    // periodically.
     void dial_disconnected_peers();
-    // A message to a peer that is not connected is dropped, and so is one that needs a feature which the peer
-    // has not announced on this connection.
+    // Drops the message if the peer is not connected, or if the message requires a feature that the peer has
+    // not announced on this connection.
     void send(const MemberId& to, const messages::CoreMessage& message);
-    // Likewise; a state in it goes as a delta where the peer can apply that.
+    // As above, except that a state in the message is sent as a delta if the peer supports deltas.
     void send(const MemberId& to, const replication::Message& message);
-    // The peer could not apply a delta: it is sent the newest state whole.
+    // Sends the newest state in full to a peer that could not apply a delta.
     void on_state_snapshot_request(const MemberId& from);
     void broadcast(const messages::CoreMessage& message);
     std::vector<MemberId> connected() const;
-    // What the connected members have announced. One that has not, or not yet, speaks the one version that
-    // named no range.
+    // The greetings of the connected members. A member that has not announced a version range, or not yet,
+    // has the default greeting: the one version that predates version ranges.
     std::map<MemberId, protocol::Greeting> greetings() const;
-    // Ends the connections to members with which no version is had in common any more.
+    // Closes the connections to members that share no protocol version with the current greeting.
     void drop_incompatible_peers();
 
   private:
     struct Link {
         transport::FrameConnectionPtr connection;
         bool dialling = false;
-        protocol::Greeting greeting;                   // on this connection; as announced, if it was
-        protocol::Agreement agreement;                 // on it; before the reply, of the lowest version
-        messages::StateDeltaSender state_delta_sender; // sent on it
-        std::chrono::milliseconds refused_until{0};    // steady; is not dialled before
+        // The next three belong to the current connection.
+        protocol::Greeting greeting;   // the default until the peer has announced one
+        protocol::Agreement agreement; // of the lowest version until the peer has replied
+        messages::StateDeltaSender state_delta_sender;
+        std::chrono::milliseconds refused_until{0}; // steady clock; the peer is not dialled before this time
     };
     void dial(const MemberId& member);
     void on_connected(const MemberId& member, const transport::FrameConnectionPtr& connection);
     void on_reply(const MemberId& member, const messages::DialReply& reply);
-    // Null where the member is not connected.
+    // Returns nullptr if the member is not connected.
     Link* connected_link(const MemberId& member);
-    // Whether the message may be sent to this peer.
+    // Whether the peer supports the feature that the message requires. Reports `message_held_back` if not.
     bool can_send(const Link& link, const messages::CoreMessage& message) const;
     void send_state(const Link& link, const messages::CoreMessage& message) const;
 
--- a/src/system/control/core_node.cpp
+++ b/src/system/control/core_node.cpp
@@ -37,7 +37,7 @@
     feed(std::move(event));
 }
 
-// Events that actions give rise to wait for their turn: the replica is never entered twice.
+// Queues events raised while an action is executed, because the replica is not reentrant.
 void CoreNode::feed(replication::Event event) {
     events_.push_back(std::move(event));
     if (std::exchange(feeding_, true)) return;
--- a/src/system/control/core_node.h
+++ b/src/system/control/core_node.h
@@ -1,5 +1,5 @@
-// This process as a core member: the replica with its store, and the queue of orders in front of it. All
-// calls on the loop's thread; callbacks come on it too.
+// This process as a core member: the replica, its store and the queue of operator orders. All methods are
+// called on the event loop's thread, and callbacks run on it too.
 #pragma once
 
 #include "system/control/order_queue.h"
@@ -20,20 +20,23 @@
     struct Callbacks {
         std::function<void(const MemberId&, const replication::Message&)> send;
         std::function<void(const replication::Position&, const configuration::ControlState&)> on_state;
-        std::function<void()> on_primary; // this member has just become the primary
-        // The disk holds a state of this cluster version; it need not be committed.
+        std::function<void()> on_primary; // this member has become the primary
+        // The state loaded from disk has this cluster version; the state may be uncommitted.
         std::function<void(protocol::Version)> on_stored_version;
     };
     CoreNode(asio::io_context& loop, const settings::Settings& settings, Callbacks callbacks);
 
+    // Passes an event to the replica and executes the resulting actions. Events raised by these actions are
+    // queued and processed before the outermost call returns.
     void feed(replication::Event event);
     void tick() { feed(replication::Tick{}); }
 
     OrderQueue& orders() { return orders_; }
     bool is_primary() const { return replica_.is_primary(); }
     std::optional<MemberId> primary() const { return replica_.primary(); }
-    // Whether a quorum vouched a moment ago for the state that is held here.
+    // Whether a quorum has recently confirmed that the local state is the newest.
     bool is_current() const { return replica_.is_current(steady_now()); }
+    // Whether the other members no longer depend on this one, so that the process may exit.
     bool can_exit() const { return replica_.is_safe_to_shut_down(steady_now()); }
     const replication::WitnessRegister& witness_register() const { return replica_.witness_register(); }
 
--- a/src/system/control/directory.cpp
+++ b/src/system/control/directory.cpp
@@ -3,7 +3,7 @@
 namespace willowrill::control {
 namespace {
 
-// 0: the client's zone, 1: its region, 2: elsewhere.
+// Returns 0 if the scheduler is in the client's zone, 1 if it is in the client's region, 2 otherwise.
 int distance(const membership::Lease& lease, const std::string& region, const std::string& zone) {
     if (lease.zone == zone) return 0;
     return lease.region == region ? 1 : 2;
--- a/src/system/control/directory.h
+++ b/src/system/control/directory.h
@@ -1,5 +1,5 @@
-// Which schedulers a client is sent to: the ready ones of its zone, and where these are too few, the nearest
-// others. Pure.
+// Selects the schedulers that a client is directed to: the ready ones in its zone and, if there are too few,
+// the nearest ones elsewhere. Pure functions without I/O.
 #pragma once
 
 #include "system/membership/lease_table.h"
@@ -10,10 +10,11 @@
 namespace willowrill::control {
 
 inline constexpr std::size_t max_addresses = 64;
-// Where fewer are found, schedulers further away are added.
+// Schedulers further away are added while fewer than this many addresses have been found.
 inline constexpr std::size_t min_nearby_addresses = 2;
 
-// Addresses for clients in this zone and region, the nearest first; at most `max_addresses`.
+// Returns the addresses of ready schedulers for a client in this region and zone, nearest first; at most
+// `max_addresses`.
 std::vector<std::string> resolve(const std::vector<membership::Lease>& leases, const std::string& region,
                                  const std::string& zone);
 
--- a/src/system/control/directory_service.h
+++ b/src/system/control/directory_service.h
@@ -1,5 +1,5 @@
-// The directory as clients ask for it over HTTP: which schedulers they may send their requests to. One
-// thread.
+// HTTP service that tells clients which schedulers they may send requests to. Not thread-safe: used on the
+// event loop's thread only.
 #pragma once
 
 #include "system/http_server/server.h"
@@ -15,7 +15,7 @@
   public:
     using Leases = std::function<std::vector<membership::Lease>()>;
 
-    // `leases`: asked at each request.
+    // `leases` returns the current scheduler leases; it is called for every request.
     DirectoryService(asio::io_context& loop, const settings::Endpoint& endpoint, Leases leases);
 
   private:
--- a/src/system/control/endpoint_list_service.cpp
+++ b/src/system/control/endpoint_list_service.cpp
@@ -23,7 +23,7 @@
 
 void EndpointListService::assign(std::uint64_t epoch, const std::vector<std::string>& live_members) {
     if (!assigner_ || assigner_epoch_ != epoch) {
-        // One member reads all lists where nothing stands against it: together they take fewer calls.
+        // Prefers to assign all zones to one member, which can read them together with fewer platform calls.
         assigner_.emplace(epoch, owner_timeout, ownership::Placement::colocated);
         assigner_epoch_ = epoch;
     }
--- a/src/system/control/endpoint_list_service.h
+++ b/src/system/control/endpoint_list_service.h
@@ -1,6 +1,6 @@
-// The platform's endpoint lists at this core member. The primary assigns each zone to a member, that member
-// polls the platform for it and publishes the list, and every member keeps the newest list of each zone. One
-// thread.
+// The platform's endpoint lists at this core member. The primary assigns each zone to a member. That member
+// polls the platform for the zone and publishes the list, and every member stores the newest list of each
+// zone. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/control/platform_poller.h"
@@ -20,19 +20,19 @@
   public:
     struct Callbacks {
         std::function<void(const messages::EndpointListMessage&)> broadcast; // to all other core members
-        std::function<void(const discovery::ZoneList&)> changed;
+        std::function<void(const discovery::ZoneList&)> changed; // a zone's newest list has new content
     };
     EndpointListService(asio::io_context& loop, const settings::Settings& settings, metrics::Metrics& metrics,
                         Callbacks callbacks);
 
     void tick() { poller_.tick(Clock::now()); }
-    // As the primary of this epoch, assigns the zones to these members and publishes the assignments.
+    // Called on the primary of `epoch`: assigns the zones to the live members and broadcasts the assignments.
     void assign(std::uint64_t epoch, const std::vector<std::string>& live_members);
-    // Another member is the primary.
+    // Discards the assignments when this member is not the primary.
     void stop_assigning() { assigner_.reset(); }
-    // A message of another member.
+    // Handles a message from another core member.
     void on_message(const messages::EndpointListMessage& message);
-    // All lists, for a member that has just connected.
+    // The newest list of every zone, for a member that has just connected.
     std::vector<messages::ZoneListUpdate> zone_list_updates() const;
 
   private:
@@ -55,8 +55,8 @@
     PlatformPoller poller_;
     std::optional<ownership::RoleAssigner> assigner_;
     std::uint64_t assigner_epoch_ = 0;
-    std::map<std::string, Clock::time_point>
-        list_sent_at_; // when a zone's whole list was last sent to the core
+    // By zone: when its full list was last broadcast to the core members.
+    std::map<std::string, Clock::time_point> list_sent_at_;
 };
 
 } // namespace willowrill::control
--- a/src/system/control/lease_replicator.cpp
+++ b/src/system/control/lease_replicator.cpp
@@ -14,7 +14,7 @@
 LeaseReplicator::LeaseReplicator(std::uint64_t incarnation, Callbacks callbacks)
     : callbacks_(std::move(callbacks)), leases_(lease_duration), version_{incarnation, 0} {}
 
-// ---- Leases renewed here ---------------------------------------------------------------------------------
+// ---- Leases renewed at this member -----------------------------------------------------------------------
 
 messages::LeasesSnapshot LeaseReplicator::snapshot() const {
     messages::LeasesSnapshot result{version_, {}};
@@ -43,7 +43,8 @@
     if (view_changed) on_changed();
 }
 
-// The holder may have gone to another core member and renewed there: only time ends its lease.
+// Does not end the lease: its holder may have reconnected to another core member and renewed it there, so the
+// lease ends only by expiring.
 void LeaseReplicator::on_disconnected(const Lease& lease) {
     const auto found = local_leases_.find(lease.node);
     if (found == local_leases_.end() || found->second.incarnation != lease.incarnation) return;
--- a/src/system/control/main.cpp
+++ b/src/system/control/main.cpp
@@ -49,10 +49,10 @@
     bool check_only = false;
     std::uint16_t metrics_port = 0;
     app.add_option("--settings", settings_path, "settings file of this process")->envname("WILLOWRILL_BOOT");
-    app.add_option("--metrics-port", metrics_port, "serve figures at this port, path /metrics");
-    app.add_flag("--check", check_only, "read the settings, say what is wrong with them, and end");
+    app.add_option("--metrics-port", metrics_port, "serve metrics on this port at /metrics");
+    app.add_flag("--check", check_only, "validate the settings file and exit");
     app.add_option("--check-configuration", configuration_path,
-                   "check an operator's configuration file, and end");
+                   "validate an operator's configuration file and exit");
     CLI11_PARSE(app, argc, argv);
     std::signal(SIGPIPE, SIG_IGN);
     if (!configuration_path.empty()) return check_configuration(configuration_path);
--- a/src/system/control/operator_api.cpp
+++ b/src/system/control/operator_api.cpp
@@ -22,7 +22,7 @@
 constexpr std::string_view upgrade_path = "/-/upgrade";
 constexpr std::string_view finish_upgrade_path = "/-/upgrade/finish";
 
-// The version in an If-Match header, with or without quotes.
+// Parses the value of an If-Match header, with or without quotes.
 std::optional<configuration::Version> parse_version(std::string_view text) {
     if (text.size() >= 2 && text.front() == '"' && text.back() == '"') text = text.substr(1, text.size() - 2);
     configuration::Version result = 0;
@@ -56,7 +56,8 @@
     respond(json_response(request, 200, to_json_text(upgrade_status_(), protocol::supported_versions.max)));
 }
 
-// Finished is finished: sent again, the order is acknowledged again, whoever is connected by then.
+// Idempotent: once the upgrade is finished, a repeated request is acknowledged regardless of which processes
+// are connected by then.
 void OperatorApi::on_finish_upgrade(const Request& request, const Respond& respond) {
     if (request.method() != http::verb::post)
         return respond(error_response(request, {ErrorKind::method_not_allowed, "use POST"}));
@@ -71,7 +72,6 @@
     submit(request, respond, configuration::FinishUpgrade{target});
 }
 
-// Says whether the request was answered here, as another member is the primary or none is known.
 bool OperatorApi::redirect_to_primary(const Request& request, const Respond& respond) const {
     if (node_.is_primary()) return false;
     const auto primary = node_.primary();
--- a/src/system/control/operator_api.h
+++ b/src/system/control/operator_api.h
@@ -1,5 +1,6 @@
-// The operators' interface of a core member: configuration, evacuations and upgrades. Only the primary
-// answers; the others name it, or say at once that they cannot. One thread.
+// The HTTP API for operators at a core member: configuration, evacuations and upgrades. Only the primary
+// processes requests; the other members redirect to it, or answer with an error if no primary is known. Not
+// thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/control/core_node.h"
@@ -15,7 +16,8 @@
 
 class OperatorApi {
   public:
-    // `zones`: those that can be evacuated. `upgrade_status`: as of now, asked for at each order and look.
+    // `zones`: the zones that can be evacuated. `upgrade_status` returns the current status; it is called for
+    // every upgrade request. `node` and `metrics` must outlive this object.
     OperatorApi(CoreNode& node, MemberId self, std::set<std::string> zones, metrics::Metrics& metrics,
                 std::function<UpgradeStatus()> upgrade_status)
         : node_(node), self_(std::move(self)), zones_(std::move(zones)), metrics_(metrics),
@@ -31,6 +33,8 @@
     void on_finish_upgrade(const http_server::Request& request, const http_server::Respond& respond);
     void submit(const http_server::Request& request, const http_server::Respond& respond,
                 configuration::Order order);
+    // Answers the request with a redirect or an error if this member is not the primary. Returns whether the
+    // request was answered.
     bool redirect_to_primary(const http_server::Request& request, const http_server::Respond& respond) const;
 
     CoreNode& node_;
--- a/src/system/control/order_queue.h
+++ b/src/system/control/order_queue.h
@@ -1,6 +1,6 @@
-// Carries operators' orders through replication, one after the other: first the member proves that it still
-// is the primary, then the order is applied to the newest state, then the new state is replicated. Knows no
-// sockets.
+// Runs operators' orders through replication, one at a time. For each order the replica first confirms that
+// this member is still the primary; then the order is applied to the newest state, and the resulting state is
+// replicated. Performs no I/O of its own.
 #pragma once
 
 #include "system/configuration/control_state.h"
@@ -14,7 +14,7 @@
 
 namespace willowrill::control {
 
-// What an order came to: acknowledged, or an error with its kind.
+// The result of an order: success, or an error with its kind.
 using OrderResult = errors::Result<void>;
 using OnOrderDone = std::function<void(OrderResult)>;
 using OnReadDone = std::function<void(errors::Result<std::string>)>;
@@ -23,14 +23,16 @@
 
 class OrderQueue {
   public:
-    // Feeds an event to the replica; its actions come back through `on`.
+    // `feed` passes an event to the replica; the replica's answers are delivered through `on`.
     explicit OrderQueue(std::function<void(replication::Event)> feed) : feed_(std::move(feed)) {}
 
+    // Queues an order. `done` receives the result; it is called at once with an error if the queue is full.
     void submit(configuration::Order order, OnOrderDone done);
-    // The newest configuration as it was sent.
+    // Reads the newest configuration text, in the form in which it was submitted, after confirming that this
+    // member is still the primary.
     void read(OnReadDone done);
 
-    // The newest committed state, and where it stands.
+    // Sets the newest committed state and its position.
     void on_state(const configuration::ControlState& state, const replication::Position& position) {
         state_ = state;
         position_ = position;
--- a/src/system/control/page_reader.h
+++ b/src/system/control/page_reader.h
@@ -1,5 +1,5 @@
-// Reads a list of the platform's, page by page, one call at a time, and hands over the whole of it. One
-// thread, that of the loop.
+// Reads an instance list from the platform page by page, one request at a time, and delivers the complete
+// list. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/discovery/instances.h"
@@ -18,26 +18,27 @@
 class PageReader {
   public:
     enum class Failure {
-        no_response, // or none in time
-        rejected,    // the platform is asked too often, or has a fault
-        unreadable,  // the answer is no page
+        no_response, // no response within the timeout
+        rejected,    // an HTTP status other than 200: rate limiting or a platform error
+        unreadable,  // the response body is not a valid page
     };
     struct Callbacks {
-        std::function<void(std::vector<discovery::Instance>)> on_list; // every page of the list
+        std::function<void(std::vector<discovery::Instance>)> on_list; // the complete list
         std::function<void(Failure)> on_failure;
-        std::function<void(std::size_t)> on_full_page; // of so many instances, with another behind it
+        std::function<void(std::size_t)> on_full_page; // size of a page that is not the last
     };
 
-    // `target`: of the first page, with its query. `loop` and `metrics` outlive the reader.
+    // `target`: request target of the first page, including its query. `loop` and `metrics` must outlive the
+    // reader.
     PageReader(asio::io_context& loop, const settings::Endpoint& platform, std::string target,
                metrics::Metrics& metrics, Callbacks callbacks);
     PageReader(const PageReader&) = delete;
     PageReader& operator=(const PageReader&) = delete;
-    // A reading under way ends without a word.
+    // Cancels a read in progress without calling any callback.
     ~PageReader() { client_->close(); }
 
     bool is_busy() const { return client_->busy(); }
-    // Reads the list from its first page on. Not while busy.
+    // Starts to read the list from its first page. Must not be called while busy.
     void start();
 
   private:
@@ -48,7 +49,7 @@
     metrics::Metrics& metrics_;
     Callbacks callbacks_;
     std::shared_ptr<http_client::Client> client_;
-    std::vector<discovery::Instance> instances_; // of the pages so far; at most `max_pages` pages
+    std::vector<discovery::Instance> instances_; // from the pages read so far; at most `max_pages` pages
     std::size_t pages_ = 0;
 };
 
--- a/src/system/control/platform_poller.cpp
+++ b/src/system/control/platform_poller.cpp
@@ -58,7 +58,8 @@
     reader.start();
 }
 
-// The one way is not begun before the other has ended, so that no older list is published after a newer one.
+// Zones are read either together or one by one. Neither way starts while a read of the other is in progress;
+// otherwise an older list could be published after a newer one.
 void PlatformPoller::tick(Clock::time_point now) {
     if (should_read_all_zones()) {
         if (!is_reading_zone()) start_if_due(all_zones_reader_, all_zones_due_, now);
@@ -80,11 +81,11 @@
     on_list_({zone, owned.token, ++owned.serial, std::move(instances)});
 }
 
-// A zone that has gone to another member meanwhile is not published.
+// Skips the zones that were assigned to another member during the read.
 void PlatformPoller::on_all_zones(std::vector<discovery::Instance> instances) {
     std::map<std::string, std::vector<discovery::Instance>> by_zone;
     for (const auto& [zone, owned] : zones_)
-        by_zone[zone]; // one without workers has an empty list
+        by_zone[zone]; // publishes an empty list for a zone without workers
     for (discovery::Instance& instance : instances)
         if (const auto zone = by_zone.find(instance.zone); zone != by_zone.end())
             zone->second.push_back(std::move(instance));
--- a/src/system/control/platform_poller.h
+++ b/src/system/control/platform_poller.h
@@ -1,6 +1,6 @@
-// Polls the platform for the lists of workers of the zones that this member owns, again and again, within the
-// rate that all callers of the platform share. A member that owns every zone asks for all of them at once
-// where that takes fewer calls. One thread.
+// Periodically polls the platform for the worker lists of the zones that this member owns, within the rate
+// limit that all callers of the platform share. A member that owns every zone reads all of them with one list
+// if that takes fewer calls. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/control/page_reader.h"
@@ -25,15 +25,16 @@
     using OnList = std::function<void(const discovery::ZoneList&)>;
     using Clock = std::chrono::steady_clock;
 
-    // `zone_count`: of all zones that there are. `loop` and `metrics` outlive the poller.
+    // `zone_count`: number of all zones, owned or not. `loop` and `metrics` must outlive the poller.
     PlatformPoller(asio::io_context& loop, settings::Endpoint platform, std::size_t zone_count,
                    metrics::Metrics& metrics, OnList on_list);
 
-    // This member polls the zone from now on, under this token. An older token than the newest is ignored.
+    // Starts to poll the zone under this token. Ignored unless the token is newer than the current one.
     void start_polling(const std::string& zone, discovery::FencingToken token);
-    // Another member owns the zone under this token. Ignored where it is not newer than this member's.
+    // Stops polling the zone because another member owns it under this token. Ignored unless the token is
+    // newer than this member's.
     void stop_polling(const std::string& zone, discovery::FencingToken token);
-    // Starts the polls that are due; to be called often.
+    // Starts the polls that are due. Called periodically.
     void tick(Clock::time_point now);
 
   private:
@@ -59,7 +60,7 @@
     discovery::ReadPlan plan_;
     std::map<std::string, Zone> zones_;
     Clock::time_point all_zones_due_;
-    PageReader all_zones_reader_; // of every zone's list at once
+    PageReader all_zones_reader_; // reads the lists of all zones together
 };
 
 } // namespace willowrill::control
--- a/src/system/control/query.h
+++ b/src/system/control/query.h
@@ -1,4 +1,4 @@
-// The query of a request's target. Pure.
+// Access to the query component of a request target.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 
 namespace willowrill::control {
 
-// The value of the first parameter of this name in the query of `target`, as it stands: escapes are not
-// decoded. Empty where there is none.
+// Returns the value of the first query parameter called `name` in `target`, without percent-decoding it, or
+// an empty string if there is none.
 std::string query_parameter(std::string_view target, std::string_view name);
 
 } // namespace willowrill::control
--- a/src/system/control/refusal_log.h
+++ b/src/system/control/refusal_log.h
@@ -1,5 +1,5 @@
-// Keeps the log readable while a peer that cannot be spoken with dials again and again: each peer is reported
-// once in a while. Pure; one thread.
+// Rate-limits the log messages about refused connections, so that an incompatible peer that reconnects
+// repeatedly does not flood the log. Not thread-safe.
 #pragma once
 
 #include <chrono>
@@ -11,9 +11,10 @@
 
 class RefusalLog {
   public:
-    using Time = std::chrono::milliseconds; // steady
+    using Time = std::chrono::milliseconds; // steady clock
 
-    // Whether a refusal of this peer is to be reported now.
+    // Returns whether a refusal of this peer should be logged now: at most once per `report_period`. Forgets
+    // all peers when `max_peers` are known.
     bool is_due(Time now, const std::string& peer) {
         if (reported_at_.size() >= max_peers) reported_at_.clear();
         const auto [entry, is_new] = reported_at_.try_emplace(peer, now);
--- a/src/system/control/replica_store.cpp
+++ b/src/system/control/replica_store.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::size_t slots_per_ring = 3;
 constexpr std::size_t register_capacity_bytes = 16U << 10U;
-// Of the position's line, and of zones evacuated on top of the largest configuration.
+// Room for the position's line and for the evacuated zones in addition to the largest configuration.
 constexpr std::size_t overhead_bytes = 4096;
 constexpr std::size_t state_capacity_bytes = configuration::max_record_bytes + overhead_bytes;
 constexpr std::size_t max_decompressed_bytes = configuration::max_state_bytes + overhead_bytes;
@@ -60,7 +60,7 @@
 replication::Loaded ReplicaStore::load() const {
     const auto decode_compressed_state = [](const std::string& record) {
         const auto text = compression::decompress(record, max_decompressed_bytes);
-        if (!text) throw std::runtime_error("a packed state is damaged");
+        if (!text) throw std::runtime_error("a compressed state record is corrupt");
         return replication::decode_state(*text);
     };
     return {decode_newest(registers_, replication::decode_register),
--- a/src/system/control/replica_store_thread.cpp
+++ b/src/system/control/replica_store_thread.cpp
@@ -16,14 +16,15 @@
 
 } // namespace
 
-// What the thread and the loop have in common; outlives the worker where a call to the disk does not return.
+// State shared by the thread and the event loop. Owned by both, so that it outlives the `ReplicaStoreThread`
+// if a disk operation does not return.
 struct ReplicaStoreThread::Shared {
     std::mutex mutex;
     std::condition_variable wakeup;
-    std::deque<replication::Save> requests; // bounded by the replica, which asks nothing of a silent disk
-    asio::io_context* loop = nullptr;       // null once the worker is gone
+    std::deque<replication::Save> requests; // bounded: the replica sends no requests to an unresponsive disk
+    asio::io_context* loop = nullptr;       // null once the `ReplicaStoreThread` is destroyed
     std::filesystem::path folder;
-    OnEvent on_event; // of the loop's thread alone
+    OnEvent on_event; // accessed on the event loop's thread only
 
     void post_event(const std::shared_ptr<Shared>& self, replication::Event event) {
         const std::lock_guard lock(mutex);
@@ -33,7 +34,7 @@
         });
     }
 
-    // Nothing once the worker is gone.
+    // Waits for the next request. Returns nullopt once the `ReplicaStoreThread` is destroyed.
     std::optional<replication::Save> wait_for_request() {
         std::unique_lock lock(mutex);
         wakeup.wait(lock, [this] { return loop == nullptr || !requests.empty(); });
@@ -43,7 +44,7 @@
         return request;
     }
 
-    // Whether the worker still wants it after the pause.
+    // Waits for `reopen_period`. Returns false if the `ReplicaStoreThread` is destroyed meanwhile.
     bool wait_before_reopen() {
         std::unique_lock lock(mutex);
         return !wakeup.wait_for(lock, reopen_period, [this] { return loop == nullptr; });
--- a/src/system/control/replica_store_thread.h
+++ b/src/system/control/replica_store_thread.h
@@ -1,5 +1,6 @@
-// Runs a core member's saves on a thread of its own, so that a slow or stalled disk blocks nothing else. All
-// calls on the loop's thread; results come as events on it, in the order of the saves.
+// Runs a core member's saves on a dedicated thread, so that a slow or stalled disk does not block the event
+// loop. All methods are called on the event loop's thread. Results are delivered on it as events, in the
+// order of the saves.
 #pragma once
 
 #include "system/control/replica_store.h"
@@ -15,10 +16,10 @@
   public:
     using OnEvent = std::function<void(replication::Event)>; // Loaded once, then Saved and SaveFailed
 
-    // Opens and reads the folder, again and again until the disk lets it. An empty path: nothing is durable,
-    // which only a deployment without disks should want.
+    // Opens and reads the folder, retrying until it succeeds. With an empty path nothing is durable, which is
+    // meant for deployments without disks only.
     ReplicaStoreThread(asio::io_context& loop, std::filesystem::path folder, OnEvent on_event);
-    // Does not wait for the disk.
+    // Does not wait for a disk operation in progress.
     ~ReplicaStoreThread();
     ReplicaStoreThread(const ReplicaStoreThread&) = delete;
     ReplicaStoreThread& operator=(const ReplicaStoreThread&) = delete;
