--- a/tests/system/control/connection_acceptor_test.cpp
+++ b/tests/system/control/connection_acceptor_test.cpp
@@ -1,5 +1,5 @@
-// The first messages on a connection that a core member accepts, over real sockets on loopback: who is taken
-// in, who is refused by name, and what becomes of messages that are not understood.
+// Tests the connection acceptor over loopback sockets: which hellos are accepted or refused, and how unknown
+// messages, unknown fields and state deltas are handled.
 #include "system/control/connection_acceptor.h"
 
 #include "system/messages/codec.h"
@@ -27,16 +27,16 @@
         ++core_messages;
         if (const auto* envelope = std::get_if<messages::ReplicationEnvelope>(&message))
             if (const auto* state = replication::state_in(envelope->message))
-                contents.push_back(*state->content);
+                state_contents.push_back(*state->content);
     }
     distribution::SessionId on_scheduler(const transport::FrameConnectionPtr&) override { return ++sessions; }
     void on_scheduler_message(distribution::SessionId, const messages::SchedulerMessage&) override {
         ++scheduler_messages;
     }
-    void on_scheduler_closed(distribution::SessionId) override { ++closed; }
+    void on_scheduler_closed(distribution::SessionId) override { ++closed_sessions; }
     Greeting greeting() const override { return protocol::own_greeting(cluster_version); }
-    void on_refused(ConnectionAcceptor::PeerKind) override { ++refused; }
-    void on_unknown_message(ConnectionAcceptor::PeerKind) override { ++unknown; }
+    void on_refused(ConnectionAcceptor::PeerKind) override { ++refused_peers; }
+    void on_unknown_message(ConnectionAcceptor::PeerKind) override { ++unknown_messages; }
     void on_unknown_fields(ConnectionAcceptor::PeerKind, std::size_t count) override {
         unknown_fields += count;
     }
@@ -44,145 +44,150 @@
 
     protocol::Version cluster_version = protocol::initial_cluster_version;
     std::vector<std::string> members;
-    std::vector<std::string> contents; // of states
-    int core_messages = 0, scheduler_messages = 0, closed = 0, refused = 0, unknown = 0, missing_bases = 0;
+    std::vector<std::string> state_contents; // of the received states
+    int core_messages = 0, scheduler_messages = 0, closed_sessions = 0, refused_peers = 0,
+        unknown_messages = 0, missing_bases = 0;
     std::size_t unknown_fields = 0;
     distribution::SessionId sessions = 0;
 };
 
-// A core member's acceptor, and a process that dials it.
-struct Accepted {
-    Accepted() : port(free_port(loop)), acceptor(loop, "127.0.0.1", port, handler) {
+// A core member's acceptor and a connection dialled to it.
+struct AcceptorFixture {
+    AcceptorFixture() : port(free_port(loop)), acceptor(loop, "127.0.0.1", port, handler) {
         Tcp::socket socket(loop);
         socket.connect({asio::ip::address_v4::loopback(), port});
-        dialler = std::make_shared<FrameConnection>(std::move(socket));
-        dialler->start([this](const json& message) { heard.push_back(message); }, [this] { over = true; });
+        dialed_connection = std::make_shared<FrameConnection>(std::move(socket));
+        dialed_connection->start([this](const json& message) { received.push_back(message); },
+                                 [this] { is_closed = true; });
     }
     static std::uint16_t free_port(asio::io_context& loop) {
         const Tcp::acceptor free(loop, Tcp::endpoint(asio::ip::address_v4::loopback(), 0));
         return free.local_endpoint().port();
     }
-    template <class Condition> bool until(Condition condition) {
+    // Runs the event loop until the condition holds. Gives up after 5 seconds without an event.
+    template <class Condition> bool run_until(Condition condition) {
         while (!condition())
             if (loop.run_one_for(std::chrono::seconds(5)) == 0) return condition();
         return true;
     }
-    void say_hello(const Greeting& greeting) {
-        dialler->send(messages::encode(messages::CoreHello{{"10.1.0.13:8166", "hall-a", "north"}, greeting}));
+    void send_hello(const Greeting& greeting) {
+        dialed_connection->send(
+            messages::encode(messages::CoreHello{{"10.1.0.13:8166", "hall-a", "north"}, greeting}));
     }
     bool is_refused() {
-        return until([&] { return over; }) && !heard.empty() && heard.back().at("type") == "hello-refused";
+        return run_until([&] { return is_closed; }) && !received.empty() &&
+               received.back().at("type") == "hello-refused";
     }
 
     asio::io_context loop;
     FakeHandler handler;
     std::uint16_t port;
     ConnectionAcceptor acceptor;
-    transport::FrameConnectionPtr dialler;
-    std::vector<json> heard;
-    bool over = false;
+    transport::FrameConnectionPtr dialed_connection;
+    std::vector<json> received;
+    bool is_closed = false;
 };
 
-const Greeting one_version{}, range{{3, 4}, {"cluster-version"}};
+const Greeting single_version_greeting{}, range_greeting{{3, 4}, {"cluster-version"}};
 const json unknown_message{{"type", "telepathy"}};
 const json optional_message{{"type", "telepathy"}, {"optional", true}};
 const json known_message = messages::encode(messages::CoreMessage{messages::CorePeers{}});
 
 } // namespace
 
-Test(connection_acceptor, a_hello_with_a_range_is_answered) {
-    Accepted accepted;
-    accepted.say_hello(range);
-    cr_assert(accepted.until([&] { return !accepted.heard.empty(); }));
-    const auto reply = messages::decode_dial_reply(accepted.heard.front());
-    cr_assert(std::get<messages::HelloReply>(reply).greeting == accepted.handler.greeting());
-    cr_assert_eq(accepted.handler.members.size(), 1U);
+Test(connection_acceptor, a_hello_with_a_version_range_gets_a_reply) {
+    AcceptorFixture fixture;
+    fixture.send_hello(range_greeting);
+    cr_assert(fixture.run_until([&] { return !fixture.received.empty(); }));
+    const auto reply = messages::decode_dial_reply(fixture.received.front());
+    cr_assert(std::get<messages::HelloReply>(reply).greeting == fixture.handler.greeting());
+    cr_assert_eq(fixture.handler.members.size(), 1U);
 }
 
-Test(connection_acceptor, a_hello_of_one_version_is_taken_and_not_answered) {
-    Accepted accepted;
-    accepted.say_hello(one_version);
-    accepted.dialler->send(known_message);
-    cr_assert(accepted.until([&] { return accepted.handler.core_messages == 1; }));
-    cr_assert(accepted.heard.empty());
+Test(connection_acceptor, a_hello_with_a_single_version_is_accepted_without_a_reply) {
+    AcceptorFixture fixture;
+    fixture.send_hello(single_version_greeting);
+    fixture.dialed_connection->send(known_message);
+    cr_assert(fixture.run_until([&] { return fixture.handler.core_messages == 1; }));
+    cr_assert(fixture.received.empty());
 }
 
-Test(connection_acceptor, who_speaks_other_versions_is_told_so_by_name) {
-    for (const Greeting& other : {Greeting{{1, 2}, {}}, Greeting{{97, 99}, {}}}) {
-        Accepted accepted;
-        accepted.say_hello(other);
-        for (int i = 0; i < 50; ++i) // what lies unread must not cost the peer the answer
-            accepted.dialler->send(known_message);
-        cr_assert(accepted.until([&] { return !accepted.heard.empty(); }));
-        const auto reply = messages::decode_dial_reply(accepted.heard.front());
+Test(connection_acceptor, a_peer_without_a_common_version_receives_a_refusal_with_the_reason) {
+    for (const Greeting& incompatible : {Greeting{{1, 2}, {}}, Greeting{{97, 99}, {}}}) {
+        AcceptorFixture fixture;
+        fixture.send_hello(incompatible);
+        for (int i = 0; i < 50; ++i) // unread messages must not prevent the peer from receiving the refusal
+            fixture.dialed_connection->send(known_message);
+        cr_assert(fixture.run_until([&] { return !fixture.received.empty(); }));
+        const auto reply = messages::decode_dial_reply(fixture.received.front());
         cr_assert(std::get<messages::HelloRefusal>(reply).detail.find("3 to 4") != std::string::npos);
-        accepted.dialler->close();
-        cr_assert_eq(accepted.handler.refused, 1);
-        cr_assert(accepted.handler.members.empty());
-        cr_assert_eq(accepted.handler.core_messages, 0);
+        fixture.dialed_connection->close();
+        cr_assert_eq(fixture.handler.refused_peers, 1);
+        cr_assert(fixture.handler.members.empty());
+        cr_assert_eq(fixture.handler.core_messages, 0);
     }
 }
 
-Test(connection_acceptor, after_an_upgrade_the_version_before_is_refused) {
-    Accepted accepted;
-    accepted.handler.cluster_version = 4;
-    accepted.say_hello(one_version);
-    cr_assert(accepted.is_refused());
-    Accepted scheduler;
+Test(connection_acceptor, the_previous_version_is_refused_after_an_upgrade) {
+    AcceptorFixture fixture;
+    fixture.handler.cluster_version = 4;
+    fixture.send_hello(single_version_greeting);
+    cr_assert(fixture.is_refused());
+    AcceptorFixture scheduler;
     scheduler.handler.cluster_version = 4;
-    scheduler.dialler->send(messages::encode(messages::SchedulerHello{one_version}));
+    scheduler.dialed_connection->send(messages::encode(messages::SchedulerHello{single_version_greeting}));
     cr_assert(scheduler.is_refused());
     cr_assert_eq(scheduler.handler.sessions, 0U);
 }
 
-Test(connection_acceptor, who_is_connected_when_the_upgrade_is_finished_is_refused_then) {
-    Accepted accepted;
-    accepted.dialler->send(messages::encode(messages::SchedulerHello{one_version}));
-    cr_assert(accepted.until([&] { return accepted.handler.sessions == 1; }));
-    accepted.acceptor.refuse_incompatible_peers();
-    cr_assert_eq(accepted.handler.refused, 0);
-    accepted.handler.cluster_version = 4;
-    accepted.acceptor.refuse_incompatible_peers();
-    cr_assert(accepted.is_refused());
-    cr_assert(accepted.until([&] { return accepted.handler.closed == 1; }));
+Test(connection_acceptor, a_connected_peer_of_the_previous_version_is_refused_when_the_upgrade_finishes) {
+    AcceptorFixture fixture;
+    fixture.dialed_connection->send(messages::encode(messages::SchedulerHello{single_version_greeting}));
+    cr_assert(fixture.run_until([&] { return fixture.handler.sessions == 1; }));
+    fixture.acceptor.refuse_incompatible_peers();
+    cr_assert_eq(fixture.handler.refused_peers, 0);
+    fixture.handler.cluster_version = 4;
+    fixture.acceptor.refuse_incompatible_peers();
+    cr_assert(fixture.is_refused());
+    cr_assert(fixture.run_until([&] { return fixture.handler.closed_sessions == 1; }));
 }
 
-Test(connection_acceptor, an_unknown_message_is_skipped_where_it_is_optional_or_the_session_skips_all) {
-    for (const auto& [greeting, message] : {std::pair{range, optional_message},
-                                            {one_version, optional_message},
-                                            {one_version, unknown_message}}) {
-        Accepted accepted;
-        accepted.say_hello(greeting);
-        accepted.dialler->send(message);
-        accepted.dialler->send(known_message);
-        cr_assert(accepted.until([&] { return accepted.handler.core_messages == 1; }));
-        cr_assert_eq(accepted.handler.unknown, 1);
-        cr_assert_not(accepted.over);
+Test(connection_acceptor, an_unknown_message_is_skipped_if_optional_or_if_no_version_was_negotiated) {
+    for (const auto& [greeting, message] : {std::pair{range_greeting, optional_message},
+                                            {single_version_greeting, optional_message},
+                                            {single_version_greeting, unknown_message}}) {
+        AcceptorFixture fixture;
+        fixture.send_hello(greeting);
+        fixture.dialed_connection->send(message);
+        fixture.dialed_connection->send(known_message);
+        cr_assert(fixture.run_until([&] { return fixture.handler.core_messages == 1; }));
+        cr_assert_eq(fixture.handler.unknown_messages, 1);
+        cr_assert_not(fixture.is_closed);
     }
 }
 
-Test(connection_acceptor, an_unknown_message_ends_a_session_that_settled_on_a_version) {
-    Accepted accepted;
-    accepted.say_hello(range);
-    accepted.dialler->send(unknown_message);
-    accepted.dialler->send(known_message);
-    cr_assert(accepted.until([&] { return accepted.over; }));
-    cr_assert_eq(accepted.handler.unknown, 1);
-    cr_assert_eq(accepted.handler.core_messages, 0);
+Test(connection_acceptor, an_unknown_message_closes_a_connection_with_a_negotiated_version) {
+    AcceptorFixture fixture;
+    fixture.send_hello(range_greeting);
+    fixture.dialed_connection->send(unknown_message);
+    fixture.dialed_connection->send(known_message);
+    cr_assert(fixture.run_until([&] { return fixture.is_closed; }));
+    cr_assert_eq(fixture.handler.unknown_messages, 1);
+    cr_assert_eq(fixture.handler.core_messages, 0);
 }
 
-Test(connection_acceptor, unknown_fields_are_counted_and_the_message_is_taken) {
-    Accepted accepted;
-    accepted.say_hello(range);
+Test(connection_acceptor, unknown_fields_are_counted_and_the_message_is_handled) {
+    AcceptorFixture fixture;
+    fixture.send_hello(range_greeting);
     json message = known_message;
     message["hue"] = "green";
-    accepted.dialler->send(message);
-    cr_assert(accepted.until([&] { return accepted.handler.core_messages == 1; }));
-    cr_assert_eq(accepted.handler.unknown_fields, 1U);
-    cr_assert_eq(accepted.handler.unknown, 0);
+    fixture.dialed_connection->send(message);
+    cr_assert(fixture.run_until([&] { return fixture.handler.core_messages == 1; }));
+    cr_assert_eq(fixture.handler.unknown_fields, 1U);
+    cr_assert_eq(fixture.handler.unknown_messages, 0);
 }
 
-Test(connection_acceptor, deltas_of_states_become_whole_or_are_reported) {
+Test(connection_acceptor, state_deltas_are_applied_or_reported_if_the_base_is_missing) {
     const auto replicate = [](std::uint64_t sequence, char last) {
         std::string text(2000, 'a');
         text.push_back(last);
@@ -193,20 +198,20 @@
     const json whole = messages::encode(sender.prepare(replicate(1, 'b'), true));
     const json delta = messages::encode(sender.prepare(replicate(2, 'c'), true));
     cr_assert(delta.at("type") == "replication-delta");
-    Accepted accepted;
-    accepted.say_hello(range);
-    accepted.dialler->send(delta);
-    cr_assert(accepted.until([&] { return accepted.handler.missing_bases == 1; }));
-    cr_assert_eq(accepted.handler.core_messages, 0);
-    accepted.dialler->send(whole);
-    accepted.dialler->send(delta);
-    cr_assert(accepted.until([&] { return accepted.handler.core_messages == 2; }));
-    cr_assert_eq(accepted.handler.contents.at(1).back(), 'c');
+    AcceptorFixture fixture;
+    fixture.send_hello(range_greeting);
+    fixture.dialed_connection->send(delta);
+    cr_assert(fixture.run_until([&] { return fixture.handler.missing_bases == 1; }));
+    cr_assert_eq(fixture.handler.core_messages, 0);
+    fixture.dialed_connection->send(whole);
+    fixture.dialed_connection->send(delta);
+    cr_assert(fixture.run_until([&] { return fixture.handler.core_messages == 2; }));
+    cr_assert_eq(fixture.handler.state_contents.at(1).back(), 'c');
 }
 
-Test(connection_acceptor, something_else_than_a_hello_ends_the_connection) {
-    Accepted accepted;
-    accepted.dialler->send(known_message);
-    cr_assert(accepted.until([&] { return accepted.over; }));
-    cr_assert_eq(accepted.handler.refused, 0);
+Test(connection_acceptor, a_first_message_that_is_not_a_hello_closes_the_connection) {
+    AcceptorFixture fixture;
+    fixture.dialed_connection->send(known_message);
+    cr_assert(fixture.run_until([&] { return fixture.is_closed; }));
+    cr_assert_eq(fixture.handler.refused_peers, 0);
 }
--- a/tests/system/control/directory_service_test.cpp
+++ b/tests/system/control/directory_service_test.cpp
@@ -1,4 +1,4 @@
-// The directory over HTTP: which targets it answers, and with what.
+// Tests the directory's HTTP service: which request targets it answers, and with which addresses.
 #include "system/control/directory_service.h"
 
 #include "support/expect.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-struct Directory {
-    Directory()
+struct DirectoryFixture {
+    DirectoryFixture()
         : endpoint{"127.0.0.1", free_port(loop)}, service(loop, endpoint, [] {
               membership::Lease lease;
               lease.node = "n1";
@@ -48,17 +48,17 @@
 
 } // namespace
 
-Test(directory_service, names_ready_schedulers) {
-    Directory directory;
+Test(directory_service, returns_the_addresses_of_ready_schedulers) {
+    DirectoryFixture fixture;
     for (const char* target : {"/-/resolution", "/-/resolution?name=x&region=north&zone=hall-a"}) {
-        const auto response = directory.get(target);
+        const auto response = fixture.get(target);
         cr_assert_eq(response.result_int(), 200U, "%s", target);
         cr_assert(response.body().find("10.1.0.20:8161") != std::string::npos);
     }
 }
 
-Test(directory_service, answers_no_other_target_that_begins_alike) {
-    Directory directory;
+Test(directory_service, rejects_other_targets_with_the_same_prefix) {
+    DirectoryFixture fixture;
     for (const char* target : {"/-/resolutions", "/-/resolutionX?zone=hall-a", "/-/resolution/x", "/-/", "/"})
-        cr_assert_eq(directory.get(target).result_int(), 404U, "%s", target);
+        cr_assert_eq(fixture.get(target).result_int(), 404U, "%s", target);
 }
--- a/tests/system/control/lease_replicator_test.cpp
+++ b/tests/system/control/lease_replicator_test.cpp
@@ -1,4 +1,4 @@
-// Leases renewed at one core member, as the others know them.
+// Tests the replication of leases between core members.
 #include "system/control/lease_replicator.h"
 #include "system/messages/codec.h"
 
@@ -17,19 +17,19 @@
 
 namespace {
 
-// Core members whose messages arrive in their order, unless they are lost.
-struct ReplicatingMembers {
+// Core members whose messages are delivered in order, or dropped if a member is partitioned.
+struct ReplicatingMembersFixture {
     std::map<std::string, std::unique_ptr<control::LeaseReplicator>> members;
-    std::set<std::string> cut; // nothing reaches these, nor comes from them
+    std::set<std::string> partitioned; // members whose messages are dropped in both directions
     Time now{0};
     std::size_t bytes = 0;
 
     void deliver(const std::string& from, const std::string& to, const messages::LeasesMessage& message) {
-        if (cut.contains(to) || cut.contains(from)) return;
+        if (partitioned.contains(to) || partitioned.contains(from)) return;
         bytes += messages::encode(messages::CoreMessage{message}).dump().size();
         members.at(to)->on_message(now, from, message);
     }
-    void add(const std::string& name, std::uint64_t life) {
+    void add(const std::string& name, std::uint64_t incarnation) {
         control::LeaseReplicator::Callbacks callbacks;
         callbacks.broadcast = [this, name](const messages::LeasesMessage& message) {
             for (const auto& [other, member] : members)
@@ -39,18 +39,19 @@
             deliver(name, to, message);
         };
         callbacks.changed = [](const std::vector<Lease>&) {};
-        members[name] = std::make_unique<control::LeaseReplicator>(life, callbacks);
+        members[name] = std::make_unique<control::LeaseReplicator>(incarnation, callbacks);
     }
-    void at(int ms) {
+    // Sets the time and expires leases at all members.
+    void advance_to(int ms) {
         now = Time(ms);
         for (const auto& [name, member] : members)
             member->expire(now);
     }
     std::vector<std::string> nodes(const std::string& member) const {
-        std::vector<std::string> out;
+        std::vector<std::string> result;
         for (const Lease& lease : members.at(member)->leases())
-            out.push_back(lease.node);
-        return out;
+            result.push_back(lease.node);
+        return result;
     }
 };
 
@@ -63,102 +64,104 @@
 } // namespace
 
 Test(lease_replicator, a_keep_alive_renews_all_leases_that_are_not_silent) {
-    ReplicatingMembers core;
-    core.add("x", 1);
-    core.add("y", 2);
+    ReplicatingMembersFixture fixture;
+    fixture.add("x", 1);
+    fixture.add("y", 2);
     std::uint64_t renewal = 0;
-    for (int at = 0; at < 20'000; at += 700) {
-        core.at(at);
+    for (int time_ms = 0; time_ms < 20'000; time_ms += 700) {
+        fixture.advance_to(time_ms);
         ++renewal;
-        core.members["x"]->on_renewed(core.now, make_lease("a1", 1, renewal));
-        if (at < 5000) core.members["x"]->on_renewed(core.now, make_lease("a2", 1, renewal));
-        core.members["x"]->publish();
-        if (at < 5000) cr_assert(core.nodes("y") == (Nodes{"a1", "a2"}), "at %d", at);
-        if (at > 8000) cr_assert(core.nodes("y") == (Nodes{"a1"}), "at %d", at);
+        fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, renewal));
+        if (time_ms < 5000) fixture.members["x"]->on_renewed(fixture.now, make_lease("a2", 1, renewal));
+        fixture.members["x"]->publish();
+        if (time_ms < 5000) cr_assert(fixture.nodes("y") == (Nodes{"a1", "a2"}), "at %d", time_ms);
+        if (time_ms > 8000) cr_assert(fixture.nodes("y") == (Nodes{"a1"}), "at %d", time_ms);
     }
-    cr_assert_lt(core.bytes, std::size_t{20'000 / 700} * 120U, "%zu bytes", core.bytes);
+    cr_assert_lt(fixture.bytes, std::size_t{20'000 / 700} * 120U, "%zu bytes", fixture.bytes);
 }
 
 Test(lease_replicator, a_member_that_missed_deltas_requests_a_snapshot) {
-    ReplicatingMembers core;
-    core.add("x", 1);
-    core.add("y", 2);
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, 1));
-    core.cut = {"y"};
-    core.members["x"]->on_renewed(core.now, make_lease("a2", 1, 1));
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, 2, Phase::leaving));
-    core.cut = {};
-    core.at(100);
-    core.members["x"]->publish();
-    cr_assert(core.nodes("y") == (Nodes{"a1", "a2"}));
-    cr_assert(core.members["y"]->leases()[0].phase == Phase::leaving);
-    // A member that started anew, with its first list's number.
-    core.add("x", 9);
-    core.members["x"]->on_renewed(core.now, make_lease("a3", 1, 1));
-    core.members["x"]->publish();
-    cr_assert(core.nodes("y") == (Nodes{"a1", "a2", "a3"}));
+    ReplicatingMembersFixture fixture;
+    fixture.add("x", 1);
+    fixture.add("y", 2);
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, 1));
+    fixture.partitioned = {"y"};
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a2", 1, 1));
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, 2, Phase::leaving));
+    fixture.partitioned = {};
+    fixture.advance_to(100);
+    fixture.members["x"]->publish();
+    cr_assert(fixture.nodes("y") == (Nodes{"a1", "a2"}));
+    cr_assert(fixture.members["y"]->leases()[0].phase == Phase::leaving);
+    // A restarted member has a new incarnation and starts at the first list number.
+    fixture.add("x", 9);
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a3", 1, 1));
+    fixture.members["x"]->publish();
+    cr_assert(fixture.nodes("y") == (Nodes{"a1", "a2", "a3"}));
 }
 
-// Word that was held up for longer than a lease lasts: what has lapsed meanwhile comes back.
-Test(lease_replicator, a_lease_that_lapsed_during_a_partition_is_known_again_after_it) {
-    ReplicatingMembers core;
-    core.add("x", 1);
-    core.add("y", 2);
+// The partition lasts longer than a lease: a lease that expired meanwhile must be restored afterwards.
+Test(lease_replicator, a_lease_that_expired_during_a_partition_is_restored_after_it) {
+    ReplicatingMembersFixture fixture;
+    fixture.add("x", 1);
+    fixture.add("y", 2);
     std::uint64_t renewal = 1;
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, renewal));
-    core.members["x"]->publish();
-    core.cut = {"y"};
-    for (int at = 700; at < 7000; at += 700) {
-        core.at(at);
-        core.members["x"]->on_renewed(core.now, make_lease("a1", 1, ++renewal));
-        core.members["x"]->publish();
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, renewal));
+    fixture.members["x"]->publish();
+    fixture.partitioned = {"y"};
+    for (int time_ms = 700; time_ms < 7000; time_ms += 700) {
+        fixture.advance_to(time_ms);
+        fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, ++renewal));
+        fixture.members["x"]->publish();
     }
-    cr_assert(core.nodes("y").empty());
-    core.cut = {};
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, ++renewal));
-    core.members["x"]->publish();
-    cr_assert(core.nodes("y") == (Nodes{"a1"}));
+    cr_assert(fixture.nodes("y").empty());
+    fixture.partitioned = {};
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, ++renewal));
+    fixture.members["x"]->publish();
+    cr_assert(fixture.nodes("y") == (Nodes{"a1"}));
 }
 
 Test(lease_replicator, a_holder_that_moved_to_another_member_keeps_its_lease) {
-    ReplicatingMembers core;
-    for (const auto& [name, life] : std::map<std::string, std::uint64_t>{{"x", 1}, {"y", 2}, {"z", 3}})
-        core.add(name, life);
+    ReplicatingMembersFixture fixture;
+    for (const auto& [name, incarnation] : std::map<std::string, std::uint64_t>{{"x", 1}, {"y", 2}, {"z", 3}})
+        fixture.add(name, incarnation);
     std::uint64_t renewal = 1;
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, renewal));
-    core.members["x"]->publish();
-    core.members["x"]->on_disconnected(make_lease("a1", 1, renewal));
-    for (int at = 400; at < 8000; at += 400) {
-        core.at(at);
-        core.members["y"]->on_renewed(core.now, make_lease("a1", 1, ++renewal));
-        core.members["x"]->publish();
-        core.members["y"]->publish();
-        cr_assert_eq(core.nodes("z").size(), 1U, "at %d", at);
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, renewal));
+    fixture.members["x"]->publish();
+    fixture.members["x"]->on_disconnected(make_lease("a1", 1, renewal));
+    for (int time_ms = 400; time_ms < 8000; time_ms += 400) {
+        fixture.advance_to(time_ms);
+        fixture.members["y"]->on_renewed(fixture.now, make_lease("a1", 1, ++renewal));
+        fixture.members["x"]->publish();
+        fixture.members["y"]->publish();
+        cr_assert_eq(fixture.nodes("z").size(), 1U, "at %d", time_ms);
     }
-    core.members["y"]->on_disconnected(make_lease("a1", 1, renewal));
-    for (int at = 8000; at < 11'000; at += 700) {
-        core.at(at);
-        core.members["x"]->publish();
-        core.members["y"]->publish();
+    fixture.members["y"]->on_disconnected(make_lease("a1", 1, renewal));
+    for (int time_ms = 8000; time_ms < 11'000; time_ms += 700) {
+        fixture.advance_to(time_ms);
+        fixture.members["x"]->publish();
+        fixture.members["y"]->publish();
     }
     for (const char* member : {"x", "y", "z"})
-        cr_assert(core.nodes(member).empty(), "%s", member);
+        cr_assert(fixture.nodes(member).empty(), "%s", member);
 }
 
-Test(lease_replicator, a_message_of_the_wrong_shape_changes_nothing) {
-    ReplicatingMembers core;
-    core.add("x", 1);
-    core.members["x"]->on_renewed(core.now, make_lease("a1", 1, 1));
-    for (const char* bad : {R"({})", R"({"type":"leases"})", R"({"type":"leases","life":1,"number":"n"})",
-                            R"({"type":"leases","life":1,"number":1,"leases":[{}]})",
-                            R"({"type":"leases-change","life":0,"number":1,"gone":7,"leases":[]})"}) {
-        bool thrown = false;
+Test(lease_replicator, a_malformed_message_changes_nothing) {
+    ReplicatingMembersFixture fixture;
+    fixture.add("x", 1);
+    fixture.members["x"]->on_renewed(fixture.now, make_lease("a1", 1, 1));
+    for (const char* malformed :
+         {R"({})", R"({"type":"leases"})", R"({"type":"leases","life":1,"number":"n"})",
+          R"({"type":"leases","life":1,"number":1,"leases":[{}]})",
+          R"({"type":"leases-change","life":0,"number":1,"gone":7,"leases":[]})"}) {
+        bool has_thrown = false;
         try {
-            core.members["x"]->on_message(core.now, "y", leases_message(nlohmann::json::parse(bad)));
+            fixture.members["x"]->on_message(fixture.now, "y",
+                                             leases_message(nlohmann::json::parse(malformed)));
         } catch (const nlohmann::json::exception&) {
-            thrown = true;
+            has_thrown = true;
         }
-        cr_assert(thrown, "%s", bad);
+        cr_assert(has_thrown, "%s", malformed);
     }
-    cr_assert_eq(core.nodes("x").size(), 1U);
+    cr_assert_eq(fixture.nodes("x").size(), 1U);
 }
--- a/tests/system/control/platform_poller_test.cpp
+++ b/tests/system/control/platform_poller_test.cpp
@@ -1,4 +1,4 @@
-// Polling a stand-in of the platform over loopback: which calls are made, and which lists come of them.
+// Tests the poller against a fake platform over loopback: which calls it makes and which lists it publishes.
 #include "system/control/platform_poller.h"
 
 #include "system/http_server/server.h"
@@ -18,10 +18,10 @@
 
 const std::vector<std::string> zones{"hall-a", "hall-b", "hall-c"};
 
-// Answers with pages of its own size, and notes what it was asked.
-class PlatformStandIn {
+// Serves instance lists in pages of `page_size` and records the request targets.
+class FakePlatform {
   public:
-    PlatformStandIn(asio::io_context& loop, std::uint16_t port)
+    FakePlatform(asio::io_context& loop, std::uint16_t port)
         : server_(loop, "127.0.0.1", port, {},
                   [this](const http_server::Request& request, const http_server::Respond& respond) {
                       respond(answer(std::string(request.target())));
@@ -48,22 +48,22 @@
             return response;
         }
         const std::string zone = value_in(target, "zone"), token = value_in(target, "pageToken");
-        std::vector<json> all;
+        std::vector<json> matching;
         for (const auto& [name, count] : workers)
             for (std::size_t i = 0; i < count && (zone.empty() || zone == name); ++i)
-                all.push_back({{"instanceId", name + std::to_string(i)},
-                               {"service", "s"},
-                               {"address", "127.0.0.1:9"},
-                               {"zone", name},
-                               {"capacity", 4},
-                               {"state", "in_service"},
-                               {"coldRemainingMs", 0}});
+                matching.push_back({{"instanceId", name + std::to_string(i)},
+                                    {"service", "s"},
+                                    {"address", "127.0.0.1:9"},
+                                    {"zone", name},
+                                    {"capacity", 4},
+                                    {"state", "in_service"},
+                                    {"coldRemainingMs", 0}});
         const std::size_t from = token.empty() ? 0 : std::stoul(token);
-        const std::size_t to = std::min(all.size(), from + page_size);
+        const std::size_t to = std::min(matching.size(), from + page_size);
         json page{{"instances", json::array()}, {"nextToken", nullptr}};
         for (std::size_t i = from; i < to; ++i)
-            page["instances"].push_back(all[i]);
-        if (to < all.size()) page["nextToken"] = std::to_string(to);
+            page["instances"].push_back(matching[i]);
+        if (to < matching.size()) page["nextToken"] = std::to_string(to);
         response.body() = page.dump();
         return response;
     }
@@ -71,8 +71,8 @@
     http_server::Server server_;
 };
 
-struct Polled {
-    Polled()
+struct PollerFixture {
+    PollerFixture()
         : port(free_port(loop)), platform(loop, port),
           poller(loop, {"127.0.0.1", port}, zones.size(), metrics,
                  [this](const discovery::ZoneList& list) { lists.push_back(list); }) {}
@@ -84,7 +84,8 @@
         for (const std::string& zone : owned)
             poller.start_polling(zone, {7, number});
     }
-    // Lets everything that is due by this time be read.
+    // Starts the polls that are due at this time and waits until at least `calls` requests have been made and
+    // the event loop is idle.
     void poll(std::chrono::seconds at, std::size_t calls) {
         platform.targets.clear();
         poller.tick(PlatformPoller::Clock::time_point(at));
@@ -97,78 +98,79 @@
     asio::io_context loop;
     metrics::Metrics metrics;
     std::uint16_t port;
-    PlatformStandIn platform;
+    FakePlatform platform;
     std::vector<discovery::ZoneList> lists;
     PlatformPoller poller;
 };
 
-// A time at which everything is due.
-constexpr std::chrono::seconds far{1000000000};
+// A time at which every poll is due.
+constexpr std::chrono::seconds due_time{1000000000};
 
 } // namespace
 
-Test(platform_poller, who_owns_every_zone_reads_them_in_one_call) {
-    Polled polled;
-    polled.own(zones);
-    polled.poll(far, 1);
-    cr_assert_eq(polled.platform.targets.size(), 1U);
-    cr_assert(polled.platform.targets[0] == "/instances");
-    cr_assert_eq(polled.lists.size(), 3U);
-    cr_assert_eq(polled.lists[0].instances.size(), 2U);
-    cr_assert_eq(polled.lists[1].instances.size(), 1U);
-    cr_assert(polled.lists[2].zone == "hall-c" && polled.lists[2].instances.empty(), "an empty list is one");
+Test(platform_poller, an_owner_of_every_zone_reads_them_in_one_call) {
+    PollerFixture fixture;
+    fixture.own(zones);
+    fixture.poll(due_time, 1);
+    cr_assert_eq(fixture.platform.targets.size(), 1U);
+    cr_assert(fixture.platform.targets[0] == "/instances");
+    cr_assert_eq(fixture.lists.size(), 3U);
+    cr_assert_eq(fixture.lists[0].instances.size(), 2U);
+    cr_assert_eq(fixture.lists[1].instances.size(), 1U);
+    cr_assert(fixture.lists[2].zone == "hall-c" && fixture.lists[2].instances.empty(),
+              "an empty list is published");
 }
 
-Test(platform_poller, who_owns_some_zones_reads_each_alone) {
-    Polled polled;
-    polled.own({"hall-a", "hall-b"});
-    polled.poll(far, 2);
-    cr_assert_eq(polled.platform.targets.size(), 2U);
-    cr_assert_eq(polled.lists.size(), 2U);
-    for (const discovery::ZoneList& list : polled.lists)
+Test(platform_poller, an_owner_of_some_zones_reads_each_separately) {
+    PollerFixture fixture;
+    fixture.own({"hall-a", "hall-b"});
+    fixture.poll(due_time, 2);
+    cr_assert_eq(fixture.platform.targets.size(), 2U);
+    cr_assert_eq(fixture.lists.size(), 2U);
+    for (const discovery::ZoneList& list : fixture.lists)
         for (const discovery::Instance& instance : list.instances)
             cr_assert(instance.zone == list.zone);
 }
 
-Test(platform_poller, lists_that_take_as_many_pages_together_are_read_alone) {
-    Polled polled;
-    polled.platform.page_size = 4;
-    polled.platform.workers = {{"hall-a", 4}, {"hall-b", 4}, {"hall-c", 4}};
-    polled.own(zones);
-    polled.poll(far, 3);
-    cr_assert_eq(polled.lists.size(), 3U);
-    polled.poll(2 * far, 3);
-    for (const std::string& target : polled.platform.targets)
+Test(platform_poller, lists_that_take_as_many_pages_together_are_read_separately) {
+    PollerFixture fixture;
+    fixture.platform.page_size = 4;
+    fixture.platform.workers = {{"hall-a", 4}, {"hall-b", 4}, {"hall-c", 4}};
+    fixture.own(zones);
+    fixture.poll(due_time, 3);
+    cr_assert_eq(fixture.lists.size(), 3U);
+    fixture.poll(2 * due_time, 3);
+    for (const std::string& target : fixture.platform.targets)
         cr_assert(target.find("zone=") != std::string::npos, "%s", target.c_str());
-    cr_assert_eq(polled.lists.size(), 6U);
+    cr_assert_eq(fixture.lists.size(), 6U);
 }
 
-Test(platform_poller, a_zone_that_went_to_another_member_is_not_published) {
-    Polled polled;
-    polled.own(zones);
-    polled.poller.stop_polling("hall-b", {7, 1});
-    polled.poll(far, 1);
-    cr_assert_eq(polled.lists.size(), 3U, "a token that is not newer takes nothing away");
-    polled.poller.stop_polling("hall-b", {7, 2});
-    polled.lists.clear();
-    polled.poll(2 * far, 2);
-    cr_assert_eq(polled.lists.size(), 2U);
-    for (const discovery::ZoneList& list : polled.lists)
+Test(platform_poller, a_zone_assigned_to_another_member_is_not_published) {
+    PollerFixture fixture;
+    fixture.own(zones);
+    fixture.poller.stop_polling("hall-b", {7, 1});
+    fixture.poll(due_time, 1);
+    cr_assert_eq(fixture.lists.size(), 3U, "a token that is not newer does not stop polling");
+    fixture.poller.stop_polling("hall-b", {7, 2});
+    fixture.lists.clear();
+    fixture.poll(2 * due_time, 2);
+    cr_assert_eq(fixture.lists.size(), 2U);
+    for (const discovery::ZoneList& list : fixture.lists)
         cr_assert(list.zone != "hall-b");
 }
 
-Test(platform_poller, a_rejection_publishes_nothing_and_serials_rise_within_a_token) {
-    Polled polled;
-    polled.own(zones);
-    polled.platform.rejects = true;
-    polled.poll(far, 1);
-    cr_assert(polled.lists.empty());
-    polled.platform.rejects = false;
-    polled.poll(2 * far, 1);
-    polled.poll(3 * far, 1);
-    cr_assert_eq(polled.lists.size(), 6U);
-    cr_assert_gt(polled.lists[3].serial, polled.lists[0].serial);
-    polled.own(zones, 5);
-    polled.poll(4 * far, 1);
-    cr_assert(polled.lists[6].token == (discovery::FencingToken{7, 5}));
+Test(platform_poller, a_rejection_publishes_nothing_and_serials_increase_within_a_token) {
+    PollerFixture fixture;
+    fixture.own(zones);
+    fixture.platform.rejects = true;
+    fixture.poll(due_time, 1);
+    cr_assert(fixture.lists.empty());
+    fixture.platform.rejects = false;
+    fixture.poll(2 * due_time, 1);
+    fixture.poll(3 * due_time, 1);
+    cr_assert_eq(fixture.lists.size(), 6U);
+    cr_assert_gt(fixture.lists[3].serial, fixture.lists[0].serial);
+    fixture.own(zones, 5);
+    fixture.poll(4 * due_time, 1);
+    cr_assert(fixture.lists[6].token == (discovery::FencingToken{7, 5}));
 }
--- a/tests/system/control/upgrade_status_test.cpp
+++ b/tests/system/control/upgrade_status_test.cpp
@@ -1,4 +1,4 @@
-// Who keeps an upgrade from being finished.
+// Tests which processes block an upgrade, and how the status is reported.
 #include "system/control/refusal_log.h"
 #include "system/control/upgrade_status.h"
 
@@ -13,75 +13,80 @@
 
 namespace {
 
-const Greeting older{}, newer = protocol::own_greeting(protocol::initial_cluster_version);
-const std::vector<replication::MemberId> three{"a:1", "b:1", "c:1"};
+const Greeting old_greeting{}, new_greeting = protocol::own_greeting(protocol::initial_cluster_version);
+const std::vector<replication::MemberId> three_members{"a:1", "b:1", "c:1"};
 
-replication::WitnessRegister known() {
-    replication::WitnessRegister out;
-    out.accepted = out.decided = {5, "a:1", {"a:1", "b:1"}, three};
-    return out;
+replication::WitnessRegister witness_register() {
+    replication::WitnessRegister record;
+    record.accepted = record.decided = {5, "a:1", {"a:1", "b:1"}, three_members};
+    return record;
 }
 
 membership::Lease scheduler(const std::string& node, protocol::VersionRange versions) {
-    membership::Lease out;
-    out.node = node;
-    out.versions = versions;
-    return out;
+    membership::Lease lease;
+    lease.node = node;
+    lease.versions = versions;
+    return lease;
 }
 
 UpgradeStatus status(const std::map<replication::MemberId, Greeting>& greetings,
                      std::vector<membership::Lease> schedulers = {}) {
-    return make_upgrade_status(3, known(), greetings, std::move(schedulers));
+    return make_upgrade_status(3, witness_register(), greetings, std::move(schedulers));
 }
 
 std::string blockers(const UpgradeStatus& status) { return to_text(upgrade_blockers(status, 4)); }
 
 } // namespace
 
-Test(upgrade_status, nobody_blocks_where_all_have_announced_the_version) {
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", newer}, {"c:1", newer}}, {scheduler("n1", {3, 4})})),
+Test(upgrade_status, nothing_blocks_if_all_processes_have_announced_the_version) {
+    expect_text(blockers(status({{"a:1", new_greeting}, {"b:1", new_greeting}, {"c:1", new_greeting}},
+                                {scheduler("n1", {3, 4})})),
                 "");
 }
 
-Test(upgrade_status, an_older_member_scheduler_or_spare_blocks) {
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", older}, {"c:1", newer}})),
+Test(upgrade_status, an_older_member_scheduler_or_standby_member_blocks) {
+    expect_text(blockers(status({{"a:1", new_greeting}, {"b:1", old_greeting}, {"c:1", new_greeting}})),
                 "b:1 speaks versions 3 only");
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", newer}, {"c:1", newer}}, {scheduler("n1", {3, 3})})),
+    expect_text(blockers(status({{"a:1", new_greeting}, {"b:1", new_greeting}, {"c:1", new_greeting}},
+                                {scheduler("n1", {3, 3})})),
                 "n1 speaks versions 3 only");
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", newer}, {"c:1", newer}, {"d:1", older}})),
-                "d:1 speaks versions 3 only");
+    expect_text(
+        blockers(status(
+            {{"a:1", new_greeting}, {"b:1", new_greeting}, {"c:1", new_greeting}, {"d:1", old_greeting}})),
+        "d:1 speaks versions 3 only");
 }
 
 Test(upgrade_status, a_witness_that_is_not_connected_blocks) {
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", newer}})), "c:1 is not connected");
+    expect_text(blockers(status({{"a:1", new_greeting}, {"b:1", new_greeting}})), "c:1 is not connected");
 }
 
-Test(upgrade_status, a_member_that_lacks_the_feature_blocks) {
-    const Greeting without{newer.versions, {}};
-    expect_text(blockers(status({{"a:1", newer}, {"b:1", without}, {"c:1", newer}})),
+Test(upgrade_status, a_member_without_the_feature_blocks) {
+    const Greeting without_feature{new_greeting.versions, {}};
+    expect_text(blockers(status({{"a:1", new_greeting}, {"b:1", without_feature}, {"c:1", new_greeting}})),
                 "b:1 lacks the feature cluster-version");
 }
 
-Test(upgrade_status, many_blockers_are_named_in_part) {
-    std::vector<membership::Lease> many;
+Test(upgrade_status, only_the_first_blockers_are_named) {
+    std::vector<membership::Lease> schedulers;
     for (int i = 0; i < 20; ++i)
-        many.push_back(scheduler("n" + std::to_string(i), {3, 3}));
-    const std::string text = blockers(status({{"a:1", newer}, {"b:1", newer}, {"c:1", newer}}, many));
+        schedulers.push_back(scheduler("n" + std::to_string(i), {3, 3}));
+    const std::string text =
+        blockers(status({{"a:1", new_greeting}, {"b:1", new_greeting}, {"c:1", new_greeting}}, schedulers));
     cr_assert(text.ends_with("; and 12 more"), "%s", text.c_str());
 }
 
-Test(upgrade_status, is_shown_to_operators) {
-    const auto shown = nlohmann::json::parse(
-        to_json_text(status({{"a:1", newer}, {"b:1", older}}, {scheduler("n1", {3, 4})}), 4));
-    cr_assert_eq(shown.at("clusterVersion").get<int>(), 3);
-    cr_assert_not(shown.at("finished").get<bool>());
-    cr_assert_eq(shown.at("members").size(), 3U);
-    cr_assert(shown.at("members").at(2).at("versions").is_null());
-    cr_assert_eq(shown.at("blockedBy").size(), 2U);
-    expect_text(shown.at("schedulers").at(0).at("node").get<std::string>(), "n1");
+Test(upgrade_status, is_formatted_as_json_for_operators) {
+    const auto document = nlohmann::json::parse(
+        to_json_text(status({{"a:1", new_greeting}, {"b:1", old_greeting}}, {scheduler("n1", {3, 4})}), 4));
+    cr_assert_eq(document.at("clusterVersion").get<int>(), 3);
+    cr_assert_not(document.at("finished").get<bool>());
+    cr_assert_eq(document.at("members").size(), 3U);
+    cr_assert(document.at("members").at(2).at("versions").is_null());
+    cr_assert_eq(document.at("blockedBy").size(), 2U);
+    expect_text(document.at("schedulers").at(0).at("node").get<std::string>(), "n1");
 }
 
-Test(refusal_log, a_peer_is_reported_once_in_a_while) {
+Test(refusal_log, a_peer_is_reported_once_per_period) {
     RefusalLog log;
     using Time = RefusalLog::Time;
     cr_assert(log.is_due(Time(0), "a"));
