--- a/src/system/control/control_plane.cpp
+++ b/src/system/control/control_plane.cpp
@@ -290,7 +290,7 @@
     node_.feed(replication::Received{from, envelope.message});
 }
 
-// Never called with content: the acceptor converts deltas into full envelopes.
+// Not reached: the acceptor has already converted every delta into a full envelope.
 void ControlPlane::on(const MemberId& /*from*/, const messages::ReplicationDelta&) const {}
 
 void ControlPlane::on(const MemberId& from, const messages::StateSnapshotRequest&) {
--- a/src/system/control/platform_poller.h
+++ b/src/system/control/platform_poller.h
@@ -1,6 +1,6 @@
 // Periodically polls the platform for the worker lists of the zones that this member owns, within the rate
-// limit that all callers of the platform share. A member that owns every zone reads all of them with one list
-// if that takes fewer calls. Not thread-safe: used on the event loop's thread only.
+// limit that all callers of the platform share. A member that owns every zone reads a single list of all
+// zones if that takes fewer calls. Not thread-safe: used on the event loop's thread only.
 #pragma once
 
 #include "system/control/page_reader.h"
