--- a/src/scheduler/main.cpp
+++ b/src/scheduler/main.cpp
@@ -139,9 +139,9 @@
         if (hot_restart_.has_peer()) {
             own_limits.memory_mb /= 2;
             const std::size_t predecessor_descriptors = hot_restart_.predecessor_descriptors();
-            own_limits.sockets -=
-                std::min(own_limits.sockets,
-                         predecessor_descriptors > 0 ? predecessor_descriptors : own_limits.sockets / 2);
+            own_limits.max_sockets -=
+                std::min(own_limits.max_sockets,
+                         predecessor_descriptors > 0 ? predecessor_descriptors : own_limits.max_sockets / 2);
         }
         const std::size_t max_connections = max_connections_per_side(own_limits);
         // Once the successor accepts the new clients, this process needs no more attempts than it has
--- a/tests/scheduler/dispatcher/ordering_test.cpp
+++ b/tests/scheduler/dispatcher/ordering_test.cpp
@@ -13,9 +13,9 @@
 // attempts are not cancelled.
 config::Settings patient_settings() {
     config::Settings result = test_settings();
-    result.connect_timeout = result.decisions.connect_timeout = 1h;
-    result.decisions.may_cancel = false;
-    for (willowrill::JobClass& job_class : result.decisions.classes)
+    result.connect_timeout = result.dispatcher.connect_timeout = 1h;
+    result.dispatcher.may_cancel = false;
+    for (willowrill::JobClass& job_class : result.dispatcher.classes)
         job_class.aim = job_class.give_up = 1h;
     return result;
 }
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -90,7 +90,7 @@
         std::string text = config_text;
         text.replace(text.find("piggyback"), 9, via);
         if (probes) text.replace(text.find("\"cancel\""), 0, "\"probes\":true,");
-        return config::parse(text, no_environment).remarks;
+        return config::parse(text, no_environment).warnings;
     };
     CHECK(remarks("piggyback", false).empty());
     CHECK(remarks("piggyback", true).empty());
@@ -203,7 +203,7 @@
                 return;
             }
             ++accepted;
-            const willowrill::Settings& settings = parsed->decisions;
+            const willowrill::Settings& settings = parsed->dispatcher;
             RC_ASSERT(settings.classes.size() == parsed->names.classes.size());
             RC_ASSERT(settings.self < settings.dispatchers);
             willowrill::Dispatcher dispatcher(settings);
--- a/tests/scheduler/program/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -149,19 +149,20 @@
         rig.worker.peers.back()->connection.write(text);
         return rig.run_until([&] { return counter == 1; });
     };
-    CHECK(is_counted(net::http::write_response(200, {}, R"({"util":0.5,"x0":2})"), counters.told));
-    CHECK(is_counted(net::http::write_response(503, {}, ""), counters.unwilling));
+    CHECK(is_counted(net::http::write_response(200, {}, R"({"util":0.5,"x0":2})"), counters.probe_reports));
+    CHECK(is_counted(net::http::write_response(503, {}, ""), counters.probe_error_statuses));
     CHECK(rig.worker.peers.size() == 1); // all on the connection of the job
-    CHECK(is_counted("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counters.nonsense));
+    CHECK(is_counted("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", counters.probe_malformed));
     CHECK(rig.pool.size() == 0); // an oversized body is not read
     // No response counts as late, a closed connection as lost; neither is reported twice.
     rig.pool.probe(0);
-    CHECK(rig.run_until([&] { return counters.late == 1; }));
+    CHECK(rig.run_until([&] { return counters.probe_timeouts == 1; }));
     rig.pool.probe(0);
     REQUIRE(rig.run_until([&] { return rig.worker.peers.size() == 3; }));
     rig.worker.peers[2]->connection.close();
-    CHECK(rig.run_until([&] { return counters.lost == 1; }));
-    CHECK(counters.told + counters.unwilling + counters.nonsense + counters.late + counters.lost ==
+    CHECK(rig.run_until([&] { return counters.probe_connections_lost == 1; }));
+    CHECK(counters.probe_reports + counters.probe_error_statuses + counters.probe_malformed +
+              counters.probe_timeouts + counters.probe_connections_lost ==
           counters.probes);
     CHECK(counters.written == 1); // probes do not count as attempts
 }
--- a/tests/scheduler/support/scheduler_fixture.h
+++ b/tests/scheduler/support/scheduler_fixture.h
@@ -2,7 +2,7 @@
 // discovery service.
 #pragma once
 
-#include "scheduler/discovery_client/watch.h"
+#include "scheduler/discovery_client/discovery_watcher.h"
 #include "scheduler/frontend/frontend.h"
 #include "scheduler/upstream/pool.h"
 #include "support/sockets.h"
