--- a/tests/scheduler/fleet/fleet_test.cpp
+++ b/tests/scheduler/fleet/fleet_test.cpp
@@ -93,7 +93,7 @@
         CHECK(cluster.wait_until([&] { return cluster.has_all_counts(i); }));
 }
 
-TEST_CASE("SIGTERM loses no counts; SIGKILL loses no counts that are in the snapshot") {
+TEST_CASE("SIGTERM loses no counts, SIGKILL none that are in the snapshot") {
     Cluster cluster(3, true);
     for (std::size_t i = 0; i < 3; ++i)
         REQUIRE(cluster.wait_until([&] { return cluster.sees_alive_members(i, 3); }));
--- a/tests/scheduler/log/log_test.cpp
+++ b/tests/scheduler/log/log_test.cpp
@@ -21,7 +21,7 @@
         CHECK(json_quote(invalid).find("\xef\xbf\xbd") != std::string::npos);
 }
 
-TEST_CASE("an event's JSON line holds its name, fields and text; a plain message has the event name log") {
+TEST_CASE("an event's JSON line holds its name, fields and text, a plain message has the event name log") {
     std::ostringstream output;
     auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(output);
     sink->set_formatter(make_json_formatter("i\"1"));
@@ -39,7 +39,7 @@
     CHECK(text.find(R"("event":"log","instance":"i\"1","text":"plain"})") != std::string::npos);
 }
 
-TEST_CASE("a reader that stops costs lines, which are counted, and no time; lines are never cut") {
+TEST_CASE("a reader that stops costs counted lines but no time and lines are never cut") {
     bool is_pipe = false;
     SUBCASE("a pipe") { is_pipe = true; }
     SUBCASE("a socket") {}
--- a/tests/scheduler/program/parts_test.cpp
+++ b/tests/scheduler/program/parts_test.cpp
@@ -230,7 +230,7 @@
 // Whatever the path refers to is rejected in one line, without blocking and without reading it all into
 // memory.
 TEST_CASE(
-    "paths that are not a configuration file are refused with a reason; a truncated file is never accepted") {
+    "paths that are not a configuration file are refused with a reason, a truncated file is never accepted") {
     std::string folder = "/tmp/willowrill-config-XXXXXX";
     REQUIRE(::mkdtemp(folder.data()) != nullptr);
     const std::string path = folder + "/config.json", pipe = folder + "/pipe";
--- a/tests/scheduler/program/program_test.cpp
+++ b/tests/scheduler/program/program_test.cpp
@@ -267,7 +267,7 @@
     CHECK_FALSE(first->closed);
 }
 
-TEST_CASE("a new connection must send a complete request in time; one that was served may stay idle") {
+TEST_CASE("a new connection must send a complete request in time, one that was served may stay idle") {
     SchedulerFixture rig;
     const auto served = rig.connect_client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     rig.run_until([&] { return served->has_received("200"); });
@@ -387,7 +387,7 @@
 }
 
 TEST_CASE(
-    "shutdown: clients go on using their connections; then idle ones are closed and the others answered") {
+    "shutdown: clients go on using their connections, then idle ones are closed and the others answered") {
     SchedulerFixture rig;
     const auto busy = rig.connect_client(SchedulerFixture::job_request("a"));
     const auto idle = rig.connect_client("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
