--- a/tests/ci/check_names_test.py
+++ b/tests/ci/check_names_test.py
@@ -77,6 +77,9 @@
         self.assertEqual(self.problems(check_names.outer_names_lost),
                          [".ci/outer-names:1: hold: no text of the code has that name"])
 
+    def test_a_lost_list_of_outer_names_is_found(self):
+        self.assertEqual(self.problems(check_names.outer_names_lost), [".ci/outer-names: there is no such file"])
+
 
 if __name__ == "__main__":
     unittest.main()
